--- a/src/arbiter/arbiterhost.h
+++ b/src/arbiter/arbiterhost.h
@@ -36,7 +36,7 @@
 {
     HostId self;
     std::uint64_t incarnation = 1; ///< from 1; another number for each process of this host, e.g. random
-    PermitDeskOptions desk; ///< shard, self and incarnation are filled in
+    PermitClientOptions desk; ///< shard, self and incarnation are filled in
     ArbiterOptions arbiter;
     Duration answerFlushInterval = 2ms; ///< least time between two answers of a shard to another host
 };
@@ -55,7 +55,7 @@
 struct PermitShardStatus
 {
     ShardId shard;
-    PermitDeskStatus desk;
+    PermitClientStatus desk;
     std::optional<ArbiterStatus> arbiter; ///< when this host serves the shard
 };
 
@@ -109,7 +109,7 @@
 private:
     struct Shard
     {
-        PermitDesk desk;
+        PermitClient desk;
         ArbiterTerm<Pool> term;
         HostId owner;
         std::vector<Endpoint> endpoints;
@@ -124,7 +124,7 @@
     void pump();
     /** Carries out what the shard's decisions say; true if anything was. */
     bool carryOut(TimePoint now, Shard &shard);
-    void carryOut(TimePoint now, Shard &shard, PermitDeskAction &action);
+    void carryOut(TimePoint now, Shard &shard, PermitClientAction &action);
     void answer(Shard &shard, const AttemptId &id, const PermitAnswer &answer);
     void sendRequests(TimePoint now, Shard &shard, const SendPermitRequests &message);
     void sendAnswers(TimePoint now, Shard &shard, const PermitAnswersTo &message);
--- a/src/arbiter/arbiterhostimpl.h
+++ b/src/arbiter/arbiterhostimpl.h
@@ -220,11 +220,11 @@
         return found->second;
     }
     const TimePoint now = ClockType::now();
-    PermitDeskOptions deskOptions = m_options.desk;
+    PermitClientOptions deskOptions = m_options.desk;
     deskOptions.shard = id;
     deskOptions.self = m_options.self;
     deskOptions.incarnation = m_options.incarnation;
-    Shard shard{PermitDesk(deskOptions, now),
+    Shard shard{PermitClient(deskOptions, now),
                 ArbiterTerm<Pool>(id, m_options.self, m_options.arbiter, m_options.answerFlushInterval, m_makePool),
                 HostId(),
                 {},
@@ -302,8 +302,8 @@
 bool ArbiterHost<ClockType, Transport, Pool>::carryOut(TimePoint now, Shard &shard)
 {
     shard.desk.tick(now);
-    std::vector<PermitDeskAction> actions = shard.desk.takeActions();
-    for (PermitDeskAction &action : actions) {
+    std::vector<PermitClientAction> actions = shard.desk.takeActions();
+    for (PermitClientAction &action : actions) {
         carryOut(now, shard, action);
     }
     shard.term.tick(now);
@@ -315,7 +315,7 @@
 }
 
 template <Clock ClockType, PeerTransport Transport, EndpointChooser Pool>
-void ArbiterHost<ClockType, Transport, Pool>::carryOut(TimePoint now, Shard &shard, PermitDeskAction &action)
+void ArbiterHost<ClockType, Transport, Pool>::carryOut(TimePoint now, Shard &shard, PermitClientAction &action)
 {
     if (const SendPermitRequests *message = std::get_if<SendPermitRequests>(&action)) {
         sendRequests(now, shard, *message);
--- a/src/arbiter/arbiterhostterm.h
+++ b/src/arbiter/arbiterhostterm.h
@@ -116,11 +116,11 @@
         if (!m_arbiter || superseded) {
             begin(now);
         }
-        const PermitDeskPeer::Arrival arrival = m_peers[batch.sender].receive(batch);
-        if (arrival == PermitDeskPeer::Arrival::Drop) {
+        const PermitClientPeer::Arrival arrival = m_peers[batch.sender].receive(batch);
+        if (arrival == PermitClientPeer::Arrival::Drop) {
             return;
         }
-        if (arrival == PermitDeskPeer::Arrival::ApplyAfterForgetting) {
+        if (arrival == PermitClientPeer::Arrival::ApplyAfterForgetting) {
             m_arbiter->hostGone(now, batch.sender);
             tellDomains(); // a host that is gone is forgotten with its domain
             m_pending.erase(batch.sender);
@@ -260,12 +260,12 @@
         return answers.grants.size() + answers.refusals.size() + answers.preemptions.size() >= maxBatchEntries;
     }
 
-    bool owes(const HostId &host, const PermitDeskPeer &peer) const
+    bool owes(const HostId &host, const PermitClientPeer &peer) const
     {
         return peer.owesAnswer() || m_pending.contains(host);
     }
 
-    void takeAnswersTo(TimePoint now, const HostId &host, PermitDeskPeer &peer, std::vector<PermitAnswersTo> &due)
+    void takeAnswersTo(TimePoint now, const HostId &host, PermitClientPeer &peer, std::vector<PermitAnswersTo> &due)
     {
         std::vector<PermitAnswers> answers;
         if (typename std::map<HostId, std::vector<PermitAnswers>>::node_type pending = m_pending.extract(host)) {
@@ -297,7 +297,7 @@
     Epoch m_greatestEpoch = 0; ///< own or told by a desk
     std::unique_ptr<Pool> m_pool;
     std::unique_ptr<Arbiter<Pool>> m_arbiter;
-    std::map<HostId, PermitDeskPeer> m_peers;
+    std::map<HostId, PermitClientPeer> m_peers;
     std::map<HostId, std::vector<PermitAnswers>> m_pending;
     TimePoint m_lastFlush;
 };
--- a/src/arbiter/capacity_test.cpp
+++ b/src/arbiter/capacity_test.cpp
@@ -165,7 +165,7 @@
             m_desk.tick(m_now);
             totals.deskProcessor += processorSeconds() - start;
         }
-        for (const PermitDeskAction &action : m_desk.takeActions()) {
+        for (const PermitClientAction &action : m_desk.takeActions()) {
             if (const SendPermitRequests *message = std::get_if<SendPermitRequests>(&action)) {
                 sendRequests(message->batch);
             } else if (const Grant *grant = std::get_if<Grant>(&action)) {
@@ -210,7 +210,7 @@
 
     Duration m_gap;
     TimePoint m_now = TimePoint(1h);
-    PermitDesk m_desk;
+    PermitClient m_desk;
     ArbiterTerm<EndpointPool> m_term;
     TimePoint m_nextRequest;
     std::size_t m_number = 0;
--- a/src/arbiter/permitdesk_test.cpp
+++ b/src/arbiter/permitdesk_test.cpp
@@ -114,7 +114,7 @@
         }
     }
 
-    PermitDesk &desk()
+    PermitClient &desk()
     {
         return m_desk;
     }
@@ -183,7 +183,7 @@
     }
     void carryOutAll()
     {
-        for (PermitDeskAction &action : m_desk.takeActions()) {
+        for (PermitClientAction &action : m_desk.takeActions()) {
             carryOut(action);
         }
     }
@@ -221,7 +221,7 @@
             }
         }
     }
-    void carryOut(PermitDeskAction &action)
+    void carryOut(PermitClientAction &action)
     {
         if (SendPermitRequests *message = std::get_if<SendPermitRequests>(&action)) {
             m_entriesSent += message->batch.tickets.size() + message->batch.held.size();
@@ -249,7 +249,7 @@
     TimePoint m_now = TimePoint(1h);
     Random m_random;
     Chaos m_chaos;
-    PermitDesk m_desk;
+    PermitClient m_desk;
     HostId m_owner = arbiters[0];
     std::map<HostId, ArbiterTerm<SlotPool>> m_terms;
     std::set<HostId> m_down;
@@ -345,11 +345,11 @@
 {
 
 /** The batches among the desk's actions, after a tick. */
-std::vector<PermitRequests> batchesOf(PermitDesk &desk, TimePoint now)
+std::vector<PermitRequests> batchesOf(PermitClient &desk, TimePoint now)
 {
     desk.tick(now);
     std::vector<PermitRequests> batches;
-    for (PermitDeskAction &action : desk.takeActions()) {
+    for (PermitClientAction &action : desk.takeActions()) {
         if (SendPermitRequests *message = std::get_if<SendPermitRequests>(&action)) {
             batches.push_back(std::move(message->batch));
         }
@@ -380,9 +380,9 @@
 
 const TimePoint begin = TimePoint(1h);
 
-PermitDesk deskOfOwner(PermitDeskOptions options = {.shard = model, .self = entry})
+PermitClient deskOfOwner(PermitClientOptions options = {.shard = model, .self = entry})
 {
-    PermitDesk desk(std::move(options), begin);
+    PermitClient desk(std::move(options), begin);
     desk.applyPreset(begin, presetOfTwoClasses());
     desk.ownerChanged(begin, arbiters[0]);
     return desk;
@@ -413,7 +413,7 @@
 {
     // The caller's request would go to a place that the arbiter has handed on. The arbiter's host stood still for three
     // seconds, too short for a new owner; the epoch is the present one. The answer names the last batch it had heard.
-    PermitDesk desk = deskOfOwner();
+    PermitClient desk = deskOfOwner();
     desk.request(begin, ticketOf("r"));
     REQUIRE(batchesOf(desk, begin).size() == 1);
     desk.answers(begin + 3s, arbiters[0], granting("r", 1, 1, 1));
@@ -428,7 +428,7 @@
 {
     // The engine would be filled above its limit: the arbiter forgets what the full re-send does not name. The answer
     // with the grant is also the one that shows a gap, so the ticket is on the list and no ticket any more.
-    PermitDesk desk = deskOfOwner();
+    PermitClient desk = deskOfOwner();
     desk.request(begin, ticketOf("r"));
     REQUIRE(batchesOf(desk, begin).size() == 1);
     desk.answers(begin + 10ms, arbiters[0], granting("r", 1, 2, 1));
@@ -472,11 +472,11 @@
 TEST_CASE("a full desk refuses the lowest tier at once", "[tier-order]")
 {
     // A supervisor's request must not be the one that finds the desk full of tagging.
-    PermitDesk desk = deskOfOwner({.shard = model, .self = entry, .maxWaiting = 2});
+    PermitClient desk = deskOfOwner({.shard = model, .self = entry, .maxWaiting = 2});
     desk.request(begin, ticketOf("tag1", "tagging"));
     desk.request(begin, ticketOf("tag2", "tagging"));
     desk.request(begin + 1ms, ticketOf("query"));
-    const std::vector<PermitDeskAction> actions = desk.takeActions();
+    const std::vector<PermitClientAction> actions = desk.takeActions();
     REQUIRE(actions.size() == 1);
     const Refusal &refusal = std::get<Refusal>(actions.front());
     REQUIRE((refusal.id.request == RequestId("tag2") && refusal.reason == RefusalReason::QueueFull));
@@ -485,7 +485,7 @@
 TEST_CASE("releases that nobody takes are bounded, and the arbiter starts from nothing")
 {
     // An arbiter out of reach for hours: each release waits for it. Over the bound the desk takes a new incarnation.
-    PermitDesk desk = deskOfOwner({.shard = model, .self = entry, .maxReleases = 2});
+    PermitClient desk = deskOfOwner({.shard = model, .self = entry, .maxReleases = 2});
     for (const char *name : {"a", "b", "c", "d"}) {
         desk.request(begin, ticketOf(name));
     }
@@ -503,12 +503,12 @@
 {
     // The caller must hear "not run" in time though the arbiter is silent and the own share has no place. A ticket that
     // stayed with the arbiter would later be granted for nobody.
-    PermitDesk desk = deskOfOwner();
+    PermitClient desk = deskOfOwner();
     desk.request(begin, ticketOf("r"));
     REQUIRE(batchesOf(desk, begin).size() == 1);
     REQUIRE(desk.nextWake().has_value());
     desk.tick(begin + 30s);
-    const std::vector<PermitDeskAction> actions = desk.takeActions();
+    const std::vector<PermitClientAction> actions = desk.takeActions();
     REQUIRE(actions.size() == 2);
     REQUIRE(std::get<Refusal>(actions.front()).reason == RefusalReason::DeadlinePassed);
     REQUIRE(std::get<SendPermitRequests>(actions.back()).batch.cancels.size() == 1);
