--- a/src/arbiter/arbiterhost.h
+++ b/src/arbiter/arbiterhost.h
@@ -15,7 +15,7 @@
 // setEndpoints(), each bounded by its desk and arbiter.
 
 #include "arbiter/arbiterhostterm.h"
-#include "arbiter/permitdesk.h"
+#include "arbiter/permitclient.h"
 #include "arbiter/permitport.h"
 #include "base/sessiontimer.h"
 #include "telemetry/log.h"
--- a/src/arbiter/arbiterhostterm.h
+++ b/src/arbiter/arbiterhostterm.h
@@ -14,7 +14,7 @@
 // Use: events with the time, then takeAnswers(); tick() at nextWake(). Bounds: Arbiter's; one small record a desk.
 
 #include "arbiter/arbiter.h"
-#include "arbiter/permitdeskpeer.h"
+#include "arbiter/permitclientpeer.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/arbiter/permitdesk_test.cpp
+++ b/src/arbiter/permitclient_test.cpp
@@ -1,6 +1,6 @@
 #include "arbiter/arbiterhostfakes.h"
 #include "arbiter/arbiterhostterm.h"
-#include "arbiter/permitdesk.h"
+#include "arbiter/permitclient.h"
 #include "base/random.h"
 
 #include <catch2/catch.hpp>
