--- a/src/arbiter/arbiter.h
+++ b/src/arbiter/arbiter.h
@@ -24,7 +24,7 @@
 //   - A new preset holds for waiting tickets at once: tier, target, limits, and the deadline moved by the change of
 //     the class's. Running work is left alone.
 //
-// A new arbiter knows nothing of the work in flight. For collectingRound it grants no more than collectingPart of
+// A new arbiter knows nothing of the work in flight. For collectingRound it grants no more than collectingFraction of
 // the places it sees free, so it can overfill the endpoints by that part at most, while entry hosts re-send
 // their tickets and held permits. Afterwards a host that has not re-sent is not waited for.
 //
@@ -34,7 +34,7 @@
 // Before the first preset tickets are dropped unanswered: entry hosts send them again.
 //
 // Cost: see grantorder.h; a call also asks the pool for free places while tickets wait. Memory: queueBudget plus
-// reservedPlaces for each class, permitLimit, endedLimit.
+// reservedTickets for each class, permitLimit, endedLimit.
 
 #include "arbiter/arbitertypes.h"
 #include "arbiter/endedattempts.h"
@@ -73,7 +73,7 @@
     /** Where an entry host is, for the hop cost; unknown hosts are placed without one. */
     void hostDomain(const HostId &host, FailureDomain domain);
     /** A host is dead: its tickets are dropped, its permits become orphans. */
-    void hostGone(TimePoint now, const HostId &host);
+    void hostRemoved(TimePoint now, const HostId &host);
     /** To be called at nextWake() and after the pool was updated. */
     void tick(TimePoint now);
 
@@ -99,12 +99,12 @@
     bool grantOne(TimePoint now);
     std::optional<EndpointChoice> chooseFor(TimePoint now, const Ticket &ticket);
     Permit makePermit(TimePoint now, const Ticket &ticket, Tier tier, const EndpointId &endpoint) const;
-    bool mayBeStopped(const Ticket &ticket) const;
+    bool isPreemptible(const Ticket &ticket) const;
     std::uint32_t estimateOf(const Ticket &ticket) const;
     double chargeFor(const Ticket &ticket, std::uint32_t tokens, std::uint32_t reused) const;
-    void takeHeld(TimePoint now, const HeldPermit &held);
+    void addHeld(TimePoint now, const HeldPermit &held);
     void finish(TimePoint now, const Permit &permit, const Release &release);
-    void freePlace(TimePoint now, const Permit &permit, const Release &release);
+    void freeSlot(TimePoint now, const Permit &permit, const Release &release);
     void refuse(TimePoint now, const QueuedTicket &queued, RefusalReason reason);
     void refuseIfHopeless(TimePoint now, const AttemptId &id);
     bool isHopeless(TimePoint now, const QueuedTicket &queued, std::size_t grants) const;
@@ -125,7 +125,7 @@
     EndedAttempts m_ended;
     LengthModel m_lengths;
     ServiceRate m_rate;
-    std::size_t m_owedInTurn = 0; ///< places freed by preemption and not granted again yet
+    std::size_t m_preemptedSlots = 0; ///< places freed by preemption and not granted again yet
     std::unordered_map<HostId, FailureDomain> m_hostDomains;
     std::vector<ArbiterAction> m_actions;
     ArbiterStatus m_counters;
--- a/src/arbiter/arbiter_test.cpp
+++ b/src/arbiter/arbiter_test.cpp
@@ -17,8 +17,8 @@
 /** An arbiter past its collecting round over one endpoint. */
 struct Shard
 {
-    explicit Shard(const std::shared_ptr<PresetInForce> &preset, std::size_t places = 1, const ArbiterOptions &options = {})
-        : pool{1, places}
+    explicit Shard(const std::shared_ptr<PresetInForce> &preset, std::size_t slots = 1, const ArbiterOptions &options = {})
+        : pool{1, slots}
         , arbiter(ShardId("s"), options, pool, 7, start)
     {
         arbiter.applyPreset(start, preset);
@@ -41,7 +41,7 @@
         arbiter.release(now, release);
     }
     /** The actions since the last call: "+a" a grant, "-a:N" a refusal for reason N, "!a" a preemption. */
-    std::string told()
+    std::string sentActions()
     {
         last = arbiter.takeActions();
         std::ostringstream text;
@@ -64,7 +64,7 @@
         std::string next = running;
         while (!next.empty()) {
             release(next);
-            const std::string granted = told();
+            const std::string granted = sentActions();
             next = granted.empty() ? "" : granted.substr(1);
             order += (order.empty() || next.empty() ? "" : " ") + next;
         }
@@ -97,7 +97,7 @@
     shard.ticket(ticketOf("fast", "fast"));
     shard.wait(1s);
     shard.ticket(ticketOf("fast-late", "fast"));
-    REQUIRE(shard.told() == "+running");
+    REQUIRE(shard.sentActions() == "+running");
     // Due after 2 s, 1.5 s and 2.5 s.
     REQUIRE(shard.drain("running") == "fast slow-early fast-late low");
 }
@@ -111,9 +111,9 @@
     }
     shard.release("running");
     shard.ticket(ticketOf("small", "draft", "small"));
-    REQUIRE(shard.told() == "+running +burst-0");
+    REQUIRE(shard.sentActions() == "+running +burst-0");
     shard.release("burst-0");
-    REQUIRE(shard.told() == "+small");
+    REQUIRE(shard.sentActions() == "+small");
 }
 
 TEST_CASE("a message that comes twice or late has the effect of one")
@@ -131,7 +131,7 @@
         const auto [later, left] = GENERATE(table<Duration, Duration>({{500ms, 1500ms}, {2s, 2s}, {9s, 2s}}));
         shard.wait(later);
         shard.ticket(ticket);
-        REQUIRE(shard.told() == "+a");
+        REQUIRE(shard.sentActions() == "+a");
         const Grant again = std::get<Grant>(shard.last[0].message);
         REQUIRE(again.endpoint == first.endpoint);
         REQUIRE(again.epoch == 7);
@@ -142,14 +142,14 @@
     {
         GENERATE(0, 1) == 0 ? shard.release("a") : shard.arbiter.cancel(shard.now, ticket.id);
         shard.ticket(ticket);
-        REQUIRE(shard.told().empty());
+        REQUIRE(shard.sentActions().empty());
         REQUIRE(shard.arbiter.status().queued == 0);
     }
     SECTION("a refusal is sent again")
     {
         shard.ticket(ticketOf("a", "no-such-class"));
         shard.ticket(ticketOf("a", "no-such-class"));
-        REQUIRE(shard.told() == "-a:3 -a:3");
+        REQUIRE(shard.sentActions() == "-a:3 -a:3");
     }
     SECTION("a second release frees nothing")
     {
@@ -157,7 +157,7 @@
         shard.release("a");
         shard.ticket(ticketOf("b", "draft"));
         shard.release("a");
-        REQUIRE(shard.told() == "+a +b");
+        REQUIRE(shard.sentActions() == "+a +b");
         REQUIRE(shard.pool.totalUsed() == 1);
     }
     SECTION("a cancel that crosses its grant gives the place back")
@@ -228,14 +228,14 @@
     std::shared_ptr<PresetInForce> next = presetOf({classRule("tagging", 0), classRule("query", 1)}, 2);
     next->preset.classes[1].queueDeadline = 10s;
     shard.arbiter.applyPreset(shard.now, next);
-    REQUIRE(shard.told() == "+running -draft:3");
+    REQUIRE(shard.sentActions() == "+running -draft:3");
     REQUIRE(std::get<Refusal>(shard.last[1].message).retryAfter == 60s);
     REQUIRE(shard.arbiter.status().running == 1);
     shard.arbiter.applyPreset(shard.now, threeTiers()); // version 1 comes late
     shard.release("running");
-    REQUIRE(shard.told() == "+tagging");
+    REQUIRE(shard.sentActions() == "+tagging");
     shard.wait(10s);
-    REQUIRE(shard.told() == "-query:0");
+    REQUIRE(shard.sentActions() == "-query:0");
 }
 
 TEST_CASE("a dead host's tickets go and its work holds its place for a bounded time")
@@ -246,17 +246,17 @@
     shard.ticket(ticketOf("dead-running", "draft", "c", "dead"));
     shard.ticket(ticketOf("dead-waiting", "draft", "c", "dead"));
     shard.ticket(ticketOf("alive", "draft", "c", "alive"));
-    shard.arbiter.hostGone(shard.now, HostId("dead"));
-    REQUIRE(shard.told() == "+dead-running");
+    shard.arbiter.hostRemoved(shard.now, HostId("dead"));
+    REQUIRE(shard.sentActions() == "+dead-running");
     REQUIRE(shard.arbiter.status().queued == 1);
     REQUIRE(shard.arbiter.status().orphans == 1);
 
     SECTION("it stays dead")
     {
         shard.wait(19s);
-        REQUIRE(shard.told().empty());
+        REQUIRE(shard.sentActions().empty());
         shard.wait(1s);
-        REQUIRE(shard.told() == "+alive");
+        REQUIRE(shard.sentActions() == "+alive");
         REQUIRE(shard.arbiter.status().lostPermits == 1);
     }
     SECTION("it was only cut off")
@@ -264,7 +264,7 @@
         shard.arbiter.held(shard.now, HeldPermit{ticketOf("dead-running", "draft", "c", "dead"), EndpointId("engine-0"), 4});
         REQUIRE(shard.arbiter.status().orphans == 0);
         shard.wait(25s);
-        REQUIRE(shard.told().empty());
+        REQUIRE(shard.sentActions().empty());
     }
     SECTION("it comes back after its place was taken")
     {
@@ -295,10 +295,10 @@
     Ticket ticket = ticketOf("a", "draft");
     ticket.deadlineIn = 100ms;
     shard.ticket(ticket);
-    REQUIRE(shard.told() == "+running");
+    REQUIRE(shard.sentActions() == "+running");
     REQUIRE(shard.arbiter.nextWake() <= shard.now + 100ms);
     shard.wait(100ms);
-    REQUIRE(shard.told() == "-a:0");
+    REQUIRE(shard.sentActions() == "-a:0");
 }
 
 TEST_CASE("a request that cannot be served in time is told at once, with the time after which it could")
@@ -316,7 +316,7 @@
         draft.deadlineIn = 100s;
         shard.ticket(draft);
     }
-    shard.told();
+    shard.sentActions();
     const auto [classId, deadline, expected] = GENERATE(table<std::string, Duration, std::string>({
         {"draft", 20s, "-a:1"}, // 11 grants of 4 s each before its own time
         {"draft", 40s, ""},
@@ -326,7 +326,7 @@
     Ticket ticket = ticketOf("a", classId);
     ticket.deadlineIn = deadline;
     shard.ticket(ticket);
-    REQUIRE(shard.told() == expected);
+    REQUIRE(shard.sentActions() == expected);
     if (!expected.empty()) {
         REQUIRE(std::get<Refusal>(shard.last[0].message).retryAfter == 40s);
     }
@@ -343,14 +343,14 @@
     for (int i = 0; i < 6; ++i) {
         shard.ticket(ticketOf("draft-" + std::to_string(i), "draft"));
     }
-    shard.told();
+    shard.sentActions();
     for (int i = 0; i < 45; ++i) {
         Ticket query = ticketOf("query-" + std::to_string(i), "query");
         query.deadlineIn = 60s;
         shard.ticket(query);
     }
     shard.wait(250ms);
-    REQUIRE(shard.told() == "-draft-1:1"); // four stay in the reserve
+    REQUIRE(shard.sentActions() == "-draft-1:1"); // four stay in the reserve
 }
 
 TEST_CASE("without an endpoint tickets wait for the grace only")
@@ -358,42 +358,42 @@
     Shard shard(threeTiers());
     shard.pool.takers = false;
     shard.ticket(ticketOf("a", "draft"));
-    REQUIRE(shard.told().empty());
+    REQUIRE(shard.sentActions().empty());
     shard.wait(2s);
-    REQUIRE(shard.told() == "-a:4");
+    REQUIRE(shard.sentActions() == "-a:4");
     shard.ticket(ticketOf("b", "draft"));
-    REQUIRE(shard.told() == "-b:4");
+    REQUIRE(shard.sentActions() == "-b:4");
     shard.pool.takers = true;
     shard.ticket(ticketOf("c", "draft"));
-    REQUIRE(shard.told() == "+c");
+    REQUIRE(shard.sentActions() == "+c");
 }
 
 TEST_CASE("over the budget the lowest tier goes first, from the customer with the most", "[tier-order]")
 {
     ArbiterOptions options;
     options.queueBudget = 3;
-    options.reservedPlaces = 1;
+    options.reservedTickets = 1;
     Shard shard(threeTiers(), 1, options);
     shard.ticket(ticketOf("running", "query"));
     shard.ticket(ticketOf("t1", "tagging", "large"));
     shard.ticket(ticketOf("t2", "tagging", "large"));
     shard.ticket(ticketOf("t3", "tagging", "small"));
     shard.ticket(ticketOf("t4", "tagging", "large"));
-    REQUIRE(shard.told() == "+running"); // one in the reserve, three in the budget
+    REQUIRE(shard.sentActions() == "+running"); // one in the reserve, three in the budget
     shard.ticket(ticketOf("d1", "draft"));
-    REQUIRE(shard.told().empty()); // in its own reserve
+    REQUIRE(shard.sentActions().empty()); // in its own reserve
     shard.ticket(ticketOf("d2", "draft"));
-    REQUIRE(shard.told() == "-t4:2");
+    REQUIRE(shard.sentActions() == "-t4:2");
     shard.ticket(ticketOf("q1", "query"));
     shard.ticket(ticketOf("q2", "query"));
     shard.ticket(ticketOf("q3", "query"));
-    REQUIRE(shard.told() == "-t2:2 -t3:2");
+    REQUIRE(shard.sentActions() == "-t2:2 -t3:2");
     shard.ticket(ticketOf("t5", "tagging"));
-    REQUIRE(shard.told() == "-t5:2"); // in favour of the one that came first
+    REQUIRE(shard.sentActions() == "-t5:2"); // in favour of the one that came first
     shard.ticket(ticketOf("q4", "query"));
-    REQUIRE(shard.told() == "-d2:2");
+    REQUIRE(shard.sentActions() == "-d2:2");
     shard.ticket(ticketOf("q5", "query"));
-    REQUIRE(shard.told() == "-q5:2");
+    REQUIRE(shard.sentActions() == "-q5:2");
     REQUIRE(shard.arbiter.status().shedByTier == std::map<Tier, std::uint64_t>{{Tier{0}, 1}, {Tier{1}, 1}, {Tier{2}, 4}});
 }
 
@@ -405,7 +405,7 @@
     for (const char *request : {"running", "d1", "d2", "d3"}) {
         shard.ticket(ticketOf(request, "draft"));
     }
-    REQUIRE(shard.told() == "+running -d3:2");
+    REQUIRE(shard.sentActions() == "+running -d3:2");
 }
 
 TEST_CASE("preemption stops the newest work of the lowest tier for an urgent higher request", "[tier-order]")
@@ -421,23 +421,23 @@
         shard.ticket(ticketOf(std::string("running-") + work, work));
     }
     shard.ticket(ticketOf("tagging", "tagging"));
-    REQUIRE(shard.told() == "+running-tagging +running-draft +running-fixed +running-query");
+    REQUIRE(shard.sentActions() == "+running-tagging +running-draft +running-fixed +running-query");
     for (const char *request : {"q1", "q2", "q3"}) {
         shard.ticket(ticketOf(request, "query"));
     }
     shard.wait(700ms);
-    REQUIRE(shard.told().empty());
+    REQUIRE(shard.sentActions().empty());
     shard.wait(50ms);
     shard.wait(50ms);
     shard.wait(50ms);
     if (!preset->preset.preemption) {
-        REQUIRE(shard.told().empty());
+        REQUIRE(shard.sentActions().empty());
         return;
     }
-    REQUIRE(shard.told() == "!running-tagging !running-draft");
+    REQUIRE(shard.sentActions() == "!running-tagging !running-draft");
     shard.release("running-tagging", ReleaseKind::Cancelled, 3);
     shard.release("running-draft", ReleaseKind::Cancelled, 3);
-    REQUIRE(shard.told() == "+q1 +q2");
+    REQUIRE(shard.sentActions() == "+q1 +q2");
 }
 
 TEST_CASE("a place freed by preemption never goes to a lower class by its share", "[tier-order]")
@@ -457,13 +457,13 @@
     for (const char *request : {"q0", "q1", "q2"}) {
         shard.release(request); // three grants at a share of 0.46: tagging is due for the next
     }
-    REQUIRE(shard.told() == "+draft +q0 +q1 +q2 +q3");
+    REQUIRE(shard.sentActions() == "+draft +q0 +q1 +q2 +q3");
     shard.wait(1s);
-    REQUIRE(shard.told() == "!draft");
+    REQUIRE(shard.sentActions() == "!draft");
     shard.release("draft", ReleaseKind::Cancelled, 3);
-    REQUIRE(shard.told() == "+q4");
+    REQUIRE(shard.sentActions() == "+q4");
     shard.release("q3");
-    REQUIRE(shard.told() == "+tagging");
+    REQUIRE(shard.sentActions() == "+tagging");
 }
 
 TEST_CASE("a due class whose request fits nowhere does not hold up a higher one", "[tier-order]")
@@ -480,10 +480,10 @@
     for (const char *request : {"q0", "q1", "q2", "q3"}) {
         shard.release(request);
     }
-    REQUIRE(shard.told() == "+q0 +q1 +q2 +q3 +q4");
+    REQUIRE(shard.sentActions() == "+q0 +q1 +q2 +q3 +q4");
     shard.pool.largestPrompt = 2000;
     shard.release("q4");
-    REQUIRE(shard.told() == "+tagging");
+    REQUIRE(shard.sentActions() == "+tagging");
 }
 
 TEST_CASE("fifo grants by arrival and sheds the newest")
@@ -497,7 +497,7 @@
         const std::string request = work + std::to_string(shard.arbiter.status().queued);
         shard.ticket(ticketOf(request, work));
     }
-    REQUIRE(shard.told() == "+tagging0 -query3:2");
+    REQUIRE(shard.sentActions() == "+tagging0 -query3:2");
     REQUIRE(shard.drain("tagging0") == "draft0 tagging1 query2");
 }
 
--- a/src/arbiter/arbiterhost.h
+++ b/src/arbiter/arbiterhost.h
@@ -109,7 +109,7 @@
 private:
     struct Shard
     {
-        PermitClient desk;
+        PermitClient client;
         ArbiterTerm<Pool> term;
         HostId owner;
         std::vector<Endpoint> endpoints;
--- a/src/arbiter/arbiterhost_test.cpp
+++ b/src/arbiter/arbiterhost_test.cpp
@@ -63,7 +63,7 @@
     {
         m_cut.insert(host);
     }
-    void mend(const HostId &host)
+    void restore(const HostId &host)
     {
         m_cut.erase(host);
     }
@@ -314,7 +314,7 @@
     cluster.run(100ms);
     REQUIRE(cluster.granted("r").size() == 8);
     // The four, and the last two: with the places back, the former grants what it still believes to wait.
-    REQUIRE(cluster.statusOf(cluster.entry).desk.grantsGivenBack == 6);
+    REQUIRE(cluster.statusOf(cluster.entry).desk.grantsReturned == 6);
     REQUIRE(cluster.statusOf(cluster.owner).arbiter->running <= 8);
 
     const Epoch epoch = cluster.statusOf(cluster.entry).desk.epoch;
@@ -342,7 +342,7 @@
     REQUIRE((own == 2 || own == 3));
     REQUIRE(cluster.granted("tag").empty());
 
-    cluster.network.mend(cluster.entry);
+    cluster.network.restore(cluster.entry);
     cluster.announce({cluster.entry}, cluster.live);
     cluster.run(1s);
     REQUIRE_FALSE(cluster.statusOf(cluster.entry).desk.fallback);
@@ -406,7 +406,7 @@
         }
         cluster.network.cut(cluster.owner);
         cluster.settle();
-        cluster.network.mend(cluster.owner);
+        cluster.network.restore(cluster.owner);
         cluster.run(600ms);
         REQUIRE(cluster.granted(name).size() == 1);
         REQUIRE(cluster.statusOf(cluster.entry).desk.fallbacks == 0);
--- a/src/arbiter/arbiterhostimpl.h
+++ b/src/arbiter/arbiterhostimpl.h
@@ -68,7 +68,7 @@
         return;
     }
     if (found->second.handlers.emplace(ticket.id, std::move(onAnswer)).second) {
-        found->second.desk.request(ClockType::now(), ticket);
+        found->second.client.request(ClockType::now(), ticket);
         schedulePump();
     }
 }
@@ -87,7 +87,7 @@
         return;
     }
     found->second.handlers.erase(id);
-    found->second.desk.cancel(ClockType::now(), id);
+    found->second.client.cancel(ClockType::now(), id);
     schedulePump();
 }
 
@@ -96,7 +96,7 @@
 {
     const auto found = m_shards.find(shardId);
     if (found != m_shards.end()) {
-        found->second.desk.progress(ClockType::now(), id, tokens);
+        found->second.client.progress(ClockType::now(), id, tokens);
         schedulePump();
     }
 }
@@ -106,7 +106,7 @@
 {
     const auto found = m_shards.find(shardId);
     if (found != m_shards.end()) {
-        found->second.desk.release(ClockType::now(), release);
+        found->second.client.release(ClockType::now(), release);
         schedulePump();
     }
 }
@@ -123,7 +123,7 @@
     const TimePoint now = ClockType::now();
     m_hosts.update(now, live);
     for (auto &[id, shard] : m_shards) {
-        shard.desk.setHosts(now, live);
+        shard.client.setHosts(now, live);
         shard.term.setHosts(now, live);
     }
     std::erase_if(m_links, [&live](const auto &link) { return std::find(live.begin(), live.end(), link.first) == live.end(); });
@@ -145,7 +145,7 @@
 {
     const TimePoint now = ClockType::now();
     Shard &shard = shardOf(shardId);
-    shard.desk.setEndpoints(now, endpoints);
+    shard.client.setEndpoints(now, endpoints);
     shard.term.setEndpoints(now, endpoints);
     shard.endpoints = std::move(endpoints);
     schedulePump();
@@ -157,7 +157,7 @@
     const TimePoint now = ClockType::now();
     m_preset = std::move(preset);
     for (auto &[id, shard] : m_shards) {
-        shard.desk.applyPreset(now, m_preset);
+        shard.client.applyPreset(now, m_preset);
         shard.term.applyPreset(now, m_preset);
     }
     schedulePump();
@@ -173,7 +173,7 @@
         if (!has) {
             continue;
         }
-        shard.desk.loadReport(now, report);
+        shard.client.loadReport(now, report);
         if constexpr (requires(Pool & pool) { pool.loadReport(now, report); }) {
             if (Pool *pool = shard.term.pool()) {
                 pool->loadReport(now, report);
@@ -192,9 +192,9 @@
             continue;
         }
         if (state == LinkState::Up) {
-            shard.desk.linkUp(now);
+            shard.client.linkUp(now);
         } else {
-            shard.desk.linkDown(now);
+            shard.client.linkDown(now);
         }
     }
     schedulePump();
@@ -206,7 +206,7 @@
     ArbiterHostStatus status;
     status.seesMajority = m_hosts.seesMajority(ClockType::now());
     for (const auto &[id, shard] : m_shards) {
-        status.shards.push_back({id, shard.desk.status(), shard.term.status()});
+        status.shards.push_back({id, shard.client.status(), shard.term.status()});
     }
     status.links = m_links;
     return status;
@@ -220,19 +220,19 @@
         return found->second;
     }
     const TimePoint now = ClockType::now();
-    PermitClientOptions deskOptions = m_options.desk;
-    deskOptions.shard = id;
-    deskOptions.self = m_options.self;
-    deskOptions.incarnation = m_options.incarnation;
-    Shard shard{PermitClient(deskOptions, now),
+    PermitClientOptions clientOptions = m_options.desk;
+    clientOptions.shard = id;
+    clientOptions.self = m_options.self;
+    clientOptions.incarnation = m_options.incarnation;
+    Shard shard{PermitClient(clientOptions, now),
                 ArbiterTerm<Pool>(id, m_options.self, m_options.arbiter, m_options.answerFlushInterval, m_makePool),
                 HostId(),
                 {},
                 {},
                 false};
-    shard.desk.setHosts(now, m_hosts.live());
+    shard.client.setHosts(now, m_hosts.live());
     if (m_preset != nullptr) {
-        shard.desk.applyPreset(now, m_preset);
+        shard.client.applyPreset(now, m_preset);
         shard.term.applyPreset(now, m_preset);
     }
     shard.term.setDomains(m_domains);
@@ -256,7 +256,7 @@
             shard.term.drop();
         }
         shard.owner = owner;
-        shard.desk.ownerChanged(now, owner);
+        shard.client.ownerChanged(now, owner);
         m_log.info("Shard " + id.text() + " is served by " + (owner.empty() ? "nobody" : owner.text()) + ".");
     }
 }
@@ -301,8 +301,8 @@
 template <Clock ClockType, PeerTransport Transport, EndpointChooser Pool>
 bool ArbiterHost<ClockType, Transport, Pool>::carryOut(TimePoint now, Shard &shard)
 {
-    shard.desk.tick(now);
-    std::vector<PermitClientAction> actions = shard.desk.takeActions();
+    shard.client.tick(now);
+    std::vector<PermitClientAction> actions = shard.client.takeActions();
     for (PermitClientAction &action : actions) {
         carryOut(now, shard, action);
     }
@@ -351,7 +351,7 @@
 void ArbiterHost<ClockType, Transport, Pool>::sendAnswers(TimePoint now, Shard &shard, const PermitAnswersTo &message)
 {
     if (message.to == m_options.self) {
-        shard.desk.answers(now, m_options.self, message.answers);
+        shard.client.answers(now, m_options.self, message.answers);
     } else {
         sendFrame(message.to, MessageKind::ArbiterAnswers, encodePermitAnswers(message.answers));
     }
@@ -405,7 +405,7 @@
     }
     const auto found = m_shards.find(answers.value().shard);
     if (found != m_shards.end()) {
-        found->second.desk.answers(ClockType::now(), from, answers.value());
+        found->second.client.answers(ClockType::now(), from, answers.value());
         schedulePump();
     }
 }
@@ -413,7 +413,7 @@
 template <Clock ClockType, PeerTransport Transport, EndpointChooser Pool>
 void ArbiterHost<ClockType, Transport, Pool>::logFallback(const ShardId &id, Shard &shard)
 {
-    const bool inFallback = shard.desk.status().fallback;
+    const bool inFallback = shard.client.status().fallback;
     if (inFallback == shard.inFallback) {
         return;
     }
@@ -435,7 +435,7 @@
         }
     };
     for (const auto &[id, shard] : m_shards) {
-        atLatest(shard.desk.nextWake());
+        atLatest(shard.client.nextWake());
         atLatest(shard.term.nextWake());
     }
     if (!m_sawMajority) {
--- a/src/arbiter/arbiterhostterm.h
+++ b/src/arbiter/arbiterhostterm.h
@@ -73,14 +73,14 @@
     /** Desks of hosts that are not live any more are forgotten; what they run keeps its place for a while. */
     void setHosts(TimePoint now, std::span<const HostId> live)
     {
-        std::vector<HostId> gone;
+        std::vector<HostId> removed;
         for (const auto &[host, peer] : m_peers) {
             if (std::find(live.begin(), live.end(), host) == live.end()) {
-                gone.push_back(host);
+                removed.push_back(host);
             }
         }
-        for (const HostId &host : gone) {
-            forgetDesk(now, host);
+        for (const HostId &host : removed) {
+            removeClient(now, host);
         }
     }
 
@@ -89,7 +89,7 @@
     {
         m_domains = domains;
         if (m_arbiter) {
-            tellDomains();
+            applyDomains();
         }
     }
 
@@ -106,7 +106,7 @@
     {
         m_greatestEpoch = std::max({m_greatestEpoch, batch.epochSeen, batch.epochElsewhere});
         if (batch.onlyTerm != 0) {
-            takeGivenBack(now, batch);
+            applyReturnedGrants(now, batch);
             return;
         }
         if (m_preset == nullptr) {
@@ -120,9 +120,9 @@
         if (arrival == PermitClientPeer::Arrival::Drop) {
             return;
         }
-        if (arrival == PermitClientPeer::Arrival::ApplyAfterForgetting) {
-            m_arbiter->hostGone(now, batch.sender);
-            tellDomains(); // a host that is gone is forgotten with its domain
+        if (arrival == PermitClientPeer::Arrival::ApplyAfterReset) {
+            m_arbiter->hostRemoved(now, batch.sender);
+            applyDomains(); // a host that is gone is forgotten with its domain
             m_pending.erase(batch.sender);
         }
         apply(now, batch);
@@ -142,7 +142,7 @@
         std::vector<PermitAnswersTo> due;
         const bool flushOthers = now >= m_lastFlush + m_flushInterval;
         for (auto &[host, peer] : m_peers) {
-            if ((host == m_self || flushOthers) && owes(host, peer)) {
+            if ((host == m_self || flushOthers) && isAnswerPending(host, peer)) {
                 takeAnswersTo(now, host, peer, due);
             }
         }
@@ -152,8 +152,8 @@
     std::optional<TimePoint> nextWake() const
     {
         std::optional<TimePoint> wake = m_arbiter ? m_arbiter->nextWake() : std::nullopt;
-        const bool anyOwed = std::any_of(m_peers.begin(), m_peers.end(), [this](const auto &entry) { return owes(entry.first, entry.second); });
-        if (anyOwed) {
+        const bool anyPending = std::any_of(m_peers.begin(), m_peers.end(), [this](const auto &entry) { return isAnswerPending(entry.first, entry.second); });
+        if (anyPending) {
             const TimePoint flush = m_lastFlush + m_flushInterval;
             wake = wake ? std::min(*wake, flush) : flush;
         }
@@ -182,10 +182,10 @@
         m_pool->update(now, m_endpoints);
         m_arbiter = std::make_unique<Arbiter<Pool>>(m_shard, m_options, *m_pool, m_epoch, now);
         m_arbiter->applyPreset(now, m_preset);
-        tellDomains();
+        applyDomains();
     }
 
-    void tellDomains()
+    void applyDomains()
     {
         for (const auto &[host, domain] : m_domains) {
             m_arbiter->hostDomain(host, domain);
@@ -213,7 +213,7 @@
         collect();
     }
 
-    void takeGivenBack(TimePoint now, const PermitRequests &batch)
+    void applyReturnedGrants(TimePoint now, const PermitRequests &batch)
     {
         // Only this term's: another one may since hold the attempt rightly.
         if (!m_arbiter || batch.onlyTerm != m_epoch) {
@@ -225,11 +225,11 @@
         collect();
     }
 
-    void forgetDesk(TimePoint now, const HostId &host)
+    void removeClient(TimePoint now, const HostId &host)
     {
         m_peers.erase(host);
         m_pending.erase(host);
-        m_arbiter->hostGone(now, host);
+        m_arbiter->hostRemoved(now, host);
         collect();
     }
 
@@ -260,9 +260,9 @@
         return answers.grants.size() + answers.refusals.size() + answers.preemptions.size() >= maxBatchEntries;
     }
 
-    bool owes(const HostId &host, const PermitClientPeer &peer) const
+    bool isAnswerPending(const HostId &host, const PermitClientPeer &peer) const
     {
-        return peer.owesAnswer() || m_pending.contains(host);
+        return peer.hasPendingAnswer() || m_pending.contains(host);
     }
 
     void takeAnswersTo(TimePoint now, const HostId &host, PermitClientPeer &peer, std::vector<PermitAnswersTo> &due)
--- a/src/arbiter/arbiterimpl.h
+++ b/src/arbiter/arbiterimpl.h
@@ -30,8 +30,8 @@
     if (!preset || (inForce && preset->version <= inForce->version)) {
         return;
     }
-    const std::vector<QueuedTicket> gone = m_order.setRules(RuleIndex(std::move(preset)));
-    for (const QueuedTicket &queued : gone) {
+    const std::vector<QueuedTicket> removed = m_order.setRules(RuleIndex(std::move(preset)));
+    for (const QueuedTicket &queued : removed) {
         refuse(now, queued, RefusalReason::UnknownClass);
     }
     for (const AttemptId &id : m_permits.all()) {
@@ -133,16 +133,16 @@
     if (ended && ended->end != AttemptEnd::Lost) {
         return;
     }
-    m_ended.forget(id);
+    m_ended.remove(id);
     m_order.take(id);
     const Permit *known = m_permits.find(id);
     if (!known) {
-        takeHeld(now, held);
+        addHeld(now, held);
     } else if (known->reservation.endpoint != held.endpoint) {
         // Granted here too, while the host ran it under a former arbiter's grant: what runs counts.
         const Permit unused = *m_permits.take(id);
         finish(now, unused, Release{id, unused.reservation.endpoint, ReleaseKind::Unused});
-        takeHeld(now, held);
+        addHeld(now, held);
     } else {
         m_permits.renew(m_now, id, held.tokensSoFar, now + m_options.silentPermitLimit);
         if (known->preempted) {
@@ -153,7 +153,7 @@
 }
 
 template <EndpointChooser Pool>
-void Arbiter<Pool>::takeHeld(TimePoint now, const HeldPermit &held)
+void Arbiter<Pool>::addHeld(TimePoint now, const HeldPermit &held)
 {
     if (m_permits.size() >= m_options.permitLimit) {
         return;
@@ -175,13 +175,13 @@
 }
 
 template <EndpointChooser Pool>
-void Arbiter<Pool>::hostGone(TimePoint now, const HostId &host)
+void Arbiter<Pool>::hostRemoved(TimePoint now, const HostId &host)
 {
     m_hostDomains.erase(host);
     std::vector<AttemptId> waiting;
-    for (const TicketQueue::Place &place : m_order.queue().byArrival()) {
-        if (place.ticket->ticket.entry == host) {
-            waiting.push_back(place.ticket->ticket.id);
+    for (const TicketQueue::Position &position : m_order.queue().byArrival()) {
+        if (position.ticket->ticket.entry == host) {
+            waiting.push_back(position.ticket->ticket.id);
         }
     }
     for (const AttemptId &id : waiting) {
@@ -196,7 +196,7 @@
 template <EndpointChooser Pool>
 void Arbiter<Pool>::tick(TimePoint now)
 {
-    m_ended.forgetOld(now);
+    m_ended.removeExpired(now);
     settle(now);
 }
 
@@ -216,7 +216,7 @@
 template <EndpointChooser Pool>
 void Arbiter<Pool>::expireTickets(TimePoint now)
 {
-    const TicketQueue::Line &byDeadline = m_order.queue().byDeadline();
+    const TicketQueue::SortedTickets &byDeadline = m_order.queue().byDeadline();
     while (!byDeadline.empty() && byDeadline.begin()->time <= now) {
         refuse(now, *m_order.take(AttemptId(byDeadline.begin()->ticket->ticket.id)), RefusalReason::DeadlinePassed);
     }
@@ -225,7 +225,7 @@
 template <EndpointChooser Pool>
 void Arbiter<Pool>::expirePermits(TimePoint now)
 {
-    for (const Permit *next = m_permits.nextGivenUp(); next && next->givenUp <= now; next = m_permits.nextGivenUp()) {
+    for (const Permit *next = m_permits.nextExpiring(); next && next->expiresAt <= now; next = m_permits.nextExpiring()) {
         const Permit lost = *m_permits.take(AttemptId(next->ticket.id));
         m_ended.add(now, lost.ticket.id, {AttemptEnd::Lost, {}});
         ++m_counters.lostPermits;
@@ -246,7 +246,7 @@
     if (now - *m_withoutEndpointSince < m_options.noEndpointGrace) {
         return;
     }
-    const TicketQueue::Line &byArrival = m_order.queue().byArrival();
+    const TicketQueue::SortedTickets &byArrival = m_order.queue().byArrival();
     while (!byArrival.empty()) {
         refuse(now, *m_order.take(AttemptId(byArrival.begin()->ticket->ticket.id)), RefusalReason::NoEndpoint);
     }
@@ -256,7 +256,7 @@
 void Arbiter<Pool>::dispatch(TimePoint now)
 {
     while (m_order.queue().size() > 0 && mayGrant(now) && grantOne(now)) { }
-    m_owedInTurn = m_order.queue().size() > 0 ? m_owedInTurn : 0;
+    m_preemptedSlots = m_order.queue().size() > 0 ? m_preemptedSlots : 0;
 }
 
 template <EndpointChooser Pool>
@@ -270,7 +270,7 @@
         return true;
     }
     const double seen = static_cast<double>(free + m_collectingGrants);
-    return static_cast<double>(m_collectingGrants) + 1 <= m_options.collectingPart * seen;
+    return static_cast<double>(m_collectingGrants) + 1 <= m_options.collectingFraction * seen;
 }
 
 template <EndpointChooser Pool>
@@ -283,7 +283,7 @@
 bool Arbiter<Pool>::grantOne(TimePoint now)
 {
     const Duration guard = 2 * m_rate.timeFor(1, m_permits.size()).value_or(Duration::zero());
-    std::optional<GrantOrder::Pick> pick = m_owedInTurn > 0 ? m_order.nextInTurn() : m_order.next(now, guard);
+    std::optional<GrantOrder::Pick> pick = m_preemptedSlots > 0 ? m_order.nextInTurn() : m_order.next(now, guard);
     std::optional<EndpointChoice> choice = chooseFor(now, pick->queued->ticket);
     if (!choice && pick->outOfTurn) {
         // The due class has to wait for a larger place; the request that is next in order must not wait for it too.
@@ -296,7 +296,7 @@
     Permit permit = makePermit(now, pick->queued->ticket, pick->queued->tier, choice->endpoint);
     permit.preemptible = permit.preemptible && !pick->outOfTurn;
     m_counters.progressGrants += pick->outOfTurn ? 1 : 0;
-    m_owedInTurn -= m_owedInTurn > 0 ? 1 : 0;
+    m_preemptedSlots -= m_preemptedSlots > 0 ? 1 : 0;
     m_collectingGrants += isCollecting() ? 1 : 0;
     ++m_counters.grants;
     m_order.grant(*pick, permit.charge);
@@ -324,14 +324,14 @@
     permit.reservation = {endpoint, ticket.promptTokens, estimate};
     permit.grant = {ticket.id, endpoint, m_order.rules().isFifo() ? 0 : tier.level, m_epoch, m_options.grantLifetime};
     permit.granted = now;
-    permit.givenUp = now + m_options.silentPermitLimit;
+    permit.expiresAt = now + m_options.silentPermitLimit;
     permit.charge = chargeFor(ticket, estimate, 0);
-    permit.preemptible = mayBeStopped(ticket);
+    permit.preemptible = isPreemptible(ticket);
     return permit;
 }
 
 template <EndpointChooser Pool>
-bool Arbiter<Pool>::mayBeStopped(const Ticket &ticket) const
+bool Arbiter<Pool>::isPreemptible(const Ticket &ticket) const
 {
     const ClassRule *rule = m_order.rules().findClass(ticket.classId);
     return rule && rule->preemptible;
@@ -357,14 +357,14 @@
 template <EndpointChooser Pool>
 void Arbiter<Pool>::finish(TimePoint now, const Permit &permit, const Release &release)
 {
-    freePlace(now, permit, release);
+    freeSlot(now, permit, release);
     m_collectingGrants -= m_collectingGrants > 0 && !permit.resent ? 1 : 0;
-    m_owedInTurn += permit.preempted ? 1 : 0;
+    m_preemptedSlots += permit.preempted ? 1 : 0;
     const bool ran = release.kind != ReleaseKind::Unused && release.kind != ReleaseKind::EndpointRefused;
     const double used = ran ? chargeFor(permit.ticket, release.tokens, release.reusedPromptTokens) : 0.0;
     m_order.correctCharge(permit.tier, permit.ticket.customer, used - permit.charge);
     if (ran && !permit.resent) {
-        m_rate.noteHeld(now - permit.granted);
+        m_rate.addHeldTime(now - permit.granted);
     }
     if (release.kind == ReleaseKind::Completed) {
         m_lengths.learn(permit.ticket.classId, release.tokens);
@@ -372,7 +372,7 @@
 }
 
 template <EndpointChooser Pool>
-void Arbiter<Pool>::freePlace(TimePoint now, const Permit &permit, const Release &release)
+void Arbiter<Pool>::freeSlot(TimePoint now, const Permit &permit, const Release &release)
 {
     const bool saw = release.endpoint == permit.reservation.endpoint
         && (release.kind == ReleaseKind::Completed || release.kind == ReleaseKind::EndpointFailed
@@ -403,9 +403,9 @@
     }
     m_lastSweep = now;
     std::vector<const QueuedTicket *> hopeless;
-    for (const TicketQueue::Place &place : m_order.queue().byDeadline()) {
-        const QueuedTicket &queued = *place.ticket;
-        if (isHopeless(now, queued, m_order.leastGrantsUntil(queued.tier, queued.ticket.classId))) {
+    for (const TicketQueue::Position &position : m_order.queue().byDeadline()) {
+        const QueuedTicket &queued = *position.ticket;
+        if (isHopeless(now, queued, m_order.minGrantsUntil(queued.tier, queued.ticket.classId))) {
             hopeless.push_back(&queued);
         }
     }
@@ -452,7 +452,7 @@
     }
     // One order for each request that waits above the victim, so none when all wait in its tier or below; the freed
     // places come with the releases.
-    if (m_permits.preempted() + m_owedInTurn < m_order.queue().sizeAbove(victim->tier)) {
+    if (m_permits.preempted() + m_preemptedSlots < m_order.queue().sizeAbove(victim->tier)) {
         send(victim->ticket.entry, Preemption{victim->ticket.id});
         ++m_counters.preemptions;
         m_permits.markPreempted(AttemptId(victim->ticket.id));
@@ -472,12 +472,12 @@
 Duration Arbiter<Pool>::retryAfter(const QueuedTicket &queued, RefusalReason reason) const
 {
     if (reason == RefusalReason::UnknownClass) {
-        return m_options.mostRetryAfter; // only a new preset can help
+        return m_options.maxRetryAfter; // only a new preset can help
     }
     const Tier nextLower{static_cast<std::uint8_t>(std::min(255, queued.tier.level + 1))};
     const std::size_t before = m_order.queue().sizeAbove(nextLower);
     const Duration drained = m_rate.timeFor(before, m_permits.size()).value_or(Duration::zero());
-    return std::clamp(drained, m_options.leastRetryAfter, m_options.mostRetryAfter);
+    return std::clamp(drained, m_options.minRetryAfter, m_options.maxRetryAfter);
 }
 
 template <EndpointChooser Pool>
@@ -504,8 +504,8 @@
         consider(m_order.queue().byDeadline().begin()->time);
         consider(m_lastSweep + m_options.sweepPeriod);
     }
-    if (const Permit *next = m_permits.nextGivenUp()) {
-        consider(next->givenUp);
+    if (const Permit *next = m_permits.nextExpiring()) {
+        consider(next->expiresAt);
     }
     return wake;
 }
@@ -520,9 +520,9 @@
     status.queued = m_order.queue().size();
     status.running = m_permits.size();
     status.orphans = m_permits.orphans();
-    for (const TicketQueue::Place &place : m_order.queue().byArrival()) {
-        ClassStatus &entry = status.classes[place.ticket->ticket.classId];
-        entry.longestWait = std::max(entry.longestWait, m_now - place.ticket->arrived);
+    for (const TicketQueue::Position &position : m_order.queue().byArrival()) {
+        ClassStatus &entry = status.classes[position.ticket->ticket.classId];
+        entry.longestWait = std::max(entry.longestWait, m_now - position.ticket->arrived);
         ++entry.queued;
     }
     return status;
--- a/src/arbiter/arbiterproperty_test.cpp
+++ b/src/arbiter/arbiterproperty_test.cpp
@@ -27,10 +27,10 @@
     Cancel,
     Progress,
     Held,
-    HostGone,
+    HostRemoved,
     Wait,
     Switch,
-    Places,
+    Slots,
 };
 
 /** One event; attempts, hosts and presets are picked by `pick`. Repeats, losses and reorderings arise by themselves. */
@@ -53,10 +53,10 @@
                                                                {1, Step::Cancel},
                                                                {1, Step::Progress},
                                                                {1, Step::Held},
-                                                               {1, Step::HostGone},
+                                                               {1, Step::HostRemoved},
                                                                {3, Step::Wait},
                                                                {1, Step::Switch},
-                                                               {1, Step::Places}});
+                                                               {1, Step::Slots}});
     const rc::Gen<Event> event = rc::gen::build<Event>(rc::gen::set(&Event::step, step),
                                                        rc::gen::set(&Event::pick, rc::gen::inRange<std::uint32_t>(0, 1'000'000)),
                                                        rc::gen::set(&Event::amount, rc::gen::inRange<std::uint32_t>(0, 3'000)));
@@ -96,7 +96,7 @@
     EndpointId endpoint; ///< while running, as the rest below
     Tier tier; ///< the highest since the grant
     bool stoppable = false; ///< by its class, and neither granted out of turn nor re-sent
-    bool told = false; ///< to stop
+    bool stopOrdered = false; ///< to stop
     bool orphan = false;
     std::size_t ends = 0;
     RefusalReason reason{};
@@ -106,8 +106,8 @@
 class Oracle
 {
 public:
-    explicit Oracle(std::uint32_t places)
-        : m_pool{3, 1 + places % 2}
+    explicit Oracle(std::uint32_t slots)
+        : m_pool{3, 1 + slots % 2}
         , m_arbiter(ShardId("s"), options(), m_pool, 1, start)
     {
         for (std::size_t i = 0; i < attempts; ++i) {
@@ -140,7 +140,7 @@
         case Step::Held:
             hold(known, event.amount);
             break;
-        case Step::HostGone:
+        case Step::HostRemoved:
             killHost(HostId("h" + std::to_string(event.pick % hosts)));
             break;
         case Step::Wait:
@@ -150,8 +150,8 @@
         case Step::Switch:
             switchTo(event.pick);
             break;
-        case Step::Places:
-            m_pool.placesEach = 1 + event.amount % 2;
+        case Step::Slots:
+            m_pool.slotsEach = 1 + event.amount % 2;
             m_arbiter.tick(m_now);
             break;
         }
@@ -179,7 +179,7 @@
     {
         ArbiterOptions options;
         options.queueBudget = 8;
-        options.reservedPlaces = 2;
+        options.reservedTickets = 2;
         options.endedMemory = 10h; // the oracle neither forgets nor gives up
         options.silentPermitLimit = 10h;
         options.orphanHold = 10h;
@@ -210,7 +210,7 @@
 
     void end(Known &known)
     {
-        m_owedInTurn = m_owedInTurn || (known.state == State::Running && known.told);
+        m_preemptedSlots = m_preemptedSlots || (known.state == State::Running && known.stopOrdered);
         if (known.state == State::Unknown || known.state == State::Waiting || known.state == State::Running) {
             known.state = State::Ended;
             ++known.ends;
@@ -242,13 +242,13 @@
     {
         const EndpointId endpoint = CountedEndpoints::idOf(amount % 3);
         const bool goesOn = known.state == State::Running && known.endpoint == endpoint;
-        m_resent = goesOn && known.told ? &known : nullptr;
+        m_resent = goesOn && known.stopOrdered ? &known : nullptr;
         if (known.state != State::Refused && known.state != State::Ended) {
             known.state = State::Running;
             known.endpoint = endpoint;
             known.tier = goesOn ? known.tier : ruleOf(known).tier;
             known.stoppable = known.stoppable && goesOn;
-            known.told = known.told && goesOn;
+            known.stopOrdered = known.stopOrdered && goesOn;
             known.orphan = false;
         }
         m_arbiter.held(m_now, HeldPermit{known.ticket, endpoint, amount});
@@ -261,7 +261,7 @@
             known.orphan = known.orphan || dead;
             known.state = dead && known.state == State::Waiting ? State::Unknown : known.state;
         }
-        m_arbiter.hostGone(m_now, host);
+        m_arbiter.hostRemoved(m_now, host);
     }
 
     void switchTo(std::uint32_t number)
@@ -280,7 +280,7 @@
         for (const ArbiterAction &action : m_arbiter.takeActions()) {
             std::visit([this](const auto &message) { checkMessage(m_known[std::stoul(message.id.request.text())], message); }, action.message);
         }
-        m_owedInTurn = m_owedInTurn && count(State::Waiting) > 0;
+        m_preemptedSlots = m_preemptedSlots && count(State::Waiting) > 0;
         RC_ASSERT_FALSE(anyWaiting([this](const Known &known) { return known.deadline <= m_now; }));
         checkBudgets();
         const ArbiterStatus status = m_arbiter.status();
@@ -296,15 +296,15 @@
         const bool overtakes = anyWaiting([&](const Known &other) { return ruleOf(other).tier.isHigherThan(ruleOf(known).tier); });
         if (overtakes) {
             RC_ASSERT_FALSE(m_lastOvertook);
-            RC_ASSERT_FALSE(m_owedInTurn);
+            RC_ASSERT_FALSE(m_preemptedSlots);
         }
         m_lastOvertook = overtakes;
-        m_owedInTurn = false;
+        m_preemptedSlots = false;
         known.state = State::Running;
         known.endpoint = grant.endpoint;
         known.tier = ruleOf(known).tier;
         known.stoppable = ruleOf(known).preemptible && !overtakes;
-        known.told = false;
+        known.stopOrdered = false;
         known.orphan = false;
     }
 
@@ -330,20 +330,20 @@
         if (std::exchange(m_resent, nullptr) == &known) {
             return; // its host may not have heard the first one
         }
-        RC_ASSERT((mayBeStopped(known) && m_preset->preset.preemption));
+        RC_ASSERT((isPreemptible(known) && m_preset->preset.preemption));
         // Never more orders than requests that could use the places.
         const auto isAbove = [&](const Known &other) { return other.state == State::Waiting && ruleOf(other).tier.isHigherThan(known.tier); };
-        const auto isStopping = [](const Known &other) { return other.state == State::Running && other.told; };
+        const auto isStopping = [](const Known &other) { return other.state == State::Running && other.stopOrdered; };
         RC_ASSERT(std::ranges::count_if(m_known, isStopping) < std::ranges::count_if(m_known, isAbove));
         for (const Known &other : m_known) {
-            RC_ASSERT_FALSE((mayBeStopped(other) && known.tier.isHigherThan(other.tier)));
+            RC_ASSERT_FALSE((isPreemptible(other) && known.tier.isHigherThan(other.tier)));
         }
-        known.told = true;
+        known.stopOrdered = true;
     }
 
-    static bool mayBeStopped(const Known &known)
+    static bool isPreemptible(const Known &known)
     {
-        return known.state == State::Running && known.stoppable && !known.told && !known.orphan;
+        return known.state == State::Running && known.stoppable && !known.stopOrdered && !known.orphan;
     }
 
     void checkBudgets() const
@@ -352,14 +352,14 @@
         for (const std::string &name : classNames) {
             const std::size_t waiting = waitingOf(ClassId(name));
             RC_ASSERT(waiting <= m_preset->preset.findClass(ClassId(name))->queueLimit);
-            counted += waiting - std::min(waiting, options().reservedPlaces);
+            counted += waiting - std::min(waiting, options().reservedTickets);
         }
         RC_ASSERT(counted <= options().queueBudget);
     }
 
     bool couldGo(const Known &known) const
     {
-        return waitingOf(known.ticket.classId) > options().reservedPlaces;
+        return waitingOf(known.ticket.classId) > options().reservedTickets;
     }
 
     std::size_t waitingOf(const ClassId &classId) const
@@ -385,7 +385,7 @@
     CountedEndpoints m_pool;
     TestArbiter m_arbiter;
     bool m_lastOvertook = false;
-    bool m_owedInTurn = false; ///< a place freed by preemption has not been granted again
+    bool m_preemptedSlots = false; ///< a place freed by preemption has not been granted again
     const Known *m_resent = nullptr; ///< told to stop before, and now re-sent
 };
 
@@ -412,10 +412,10 @@
 class Flood
 {
 public:
-    Flood(std::vector<double> shares, std::size_t places, std::size_t backlog)
+    Flood(std::vector<double> shares, std::size_t slots, std::size_t backlog)
         : m_shares(std::move(shares))
         , m_backlog(backlog)
-        , m_pool{1, places}
+        , m_pool{1, slots}
         , m_arbiter(ShardId("s"), options(), m_pool, 1, start)
     {
         std::vector<ClassRule> classes = {classRule("high", 0, 0.01)};
@@ -424,7 +424,7 @@
         }
         m_arbiter.applyPreset(start, presetOf(classes));
         m_grantsWaited.resize(m_shares.size());
-        for (std::size_t i = 0; i < places; ++i) {
+        for (std::size_t i = 0; i < slots; ++i) {
             send("high", 1s);
         }
         refill();
@@ -460,11 +460,11 @@
         for (const double share : m_shares) {
             sum += share;
         }
-        return m_shares[low] * std::min(1.0, options().mostShares / sum);
+        return m_shares[low] * std::min(1.0, options().maxShareSum / sum);
     }
     std::size_t bound(std::size_t low) const
     {
-        return static_cast<std::size_t>(std::ceil(1 / scaledShare(low))) + (2 + GrantOrder::mostDeferrals) * (m_shares.size() + 1);
+        return static_cast<std::size_t>(std::ceil(1 / scaledShare(low))) + (2 + GrantOrder::maxDeferrals) * (m_shares.size() + 1);
     }
 
 private:
@@ -472,8 +472,8 @@
     {
         ArbiterOptions options;
         options.queueBudget = 20;
-        options.reservedPlaces = 2;
-        options.mostShares = 0.3;
+        options.reservedTickets = 2;
+        options.maxShareSum = 0.3;
         return options;
     }
 
@@ -571,16 +571,16 @@
         for (std::size_t i = 0; i < 200; ++i) {
             taken.push_back(taken.back() + (flood.step(i, false) > 0 ? 1 : 0));
         }
-        bool kept = true;
+        bool withinBounds = true;
         for (std::size_t from = 0; from < taken.size(); from += 5) {
             for (std::size_t to = from; to < taken.size(); ++to) {
                 const std::size_t outOfTurn = taken[to] - taken[from];
                 const std::size_t window = to - from;
-                kept = kept && static_cast<double>(outOfTurn) <= sum * static_cast<double>(window) + 2.0 * static_cast<double>(shares.size());
-                kept = kept && outOfTurn <= (window + 1) / 2;
+                withinBounds = withinBounds && static_cast<double>(outOfTurn) <= sum * static_cast<double>(window) + 2.0 * static_cast<double>(shares.size());
+                withinBounds = withinBounds && outOfTurn <= (window + 1) / 2;
             }
         }
-        RC_ASSERT(kept);
+        RC_ASSERT(withinBounds);
     });
 }
 
--- a/src/arbiter/capacity_test.cpp
+++ b/src/arbiter/capacity_test.cpp
@@ -25,7 +25,7 @@
 }
 
 // The letter's peak: 423 tokens an answer; at 40 ms a token a request runs for 17 s and tells of progress every 16 tokens.
-constexpr Duration requestLife = 17s;
+constexpr Duration requestDuration = 17s;
 constexpr Duration progressGap = 640ms;
 constexpr std::uint32_t progressTokens = 16;
 constexpr std::size_t digestsOfTicket = 12; ///< 3 KB of prompt
@@ -79,7 +79,7 @@
     std::size_t requestBytes = 0;
     std::size_t answerFrames = 0;
     std::size_t answerBytes = 0;
-    double deskProcessor = 0; ///< with encoding and decoding
+    double clientProcessor = 0; ///< with encoding and decoding
     double arbiterProcessor = 0;
 };
 
@@ -89,7 +89,7 @@
 public:
     explicit PairRun(double requestsPerSecond)
         : m_gap(requestsPerSecond > 0 ? fromSeconds(1 / requestsPerSecond) : Duration::max())
-        , m_desk({.shard = shardName, .self = entryHost}, m_now)
+        , m_client({.shard = shardName, .self = entryHost}, m_now)
         , m_term(
               shardName, arbiterHost, ArbiterOptions(), 2ms, [this](const ShardId &) { return std::make_unique<EndpointPool>(EndpointPoolOptions{}, m_now); })
         , m_nextRequest(requestsPerSecond > 0 ? m_now : TimePoint::max())
@@ -97,12 +97,12 @@
         const std::vector<Endpoint> endpoints = endpointsOf(endpointsOfShard);
         const std::vector<HostId> hosts{entryHost, arbiterHost};
         const std::shared_ptr<const PresetInForce> preset = presetOf(0);
-        m_desk.applyPreset(m_now, preset);
-        m_desk.setEndpoints(m_now, endpoints);
-        m_desk.setHosts(m_now, hosts);
+        m_client.applyPreset(m_now, preset);
+        m_client.setEndpoints(m_now, endpoints);
+        m_client.setHosts(m_now, hosts);
         m_term.applyPreset(m_now, preset);
         m_term.setEndpoints(m_now, endpoints);
-        m_desk.ownerChanged(m_now, arbiterHost);
+        m_client.ownerChanged(m_now, arbiterHost);
     }
 
     void run(Duration time)
@@ -111,10 +111,10 @@
         for (; m_now < end; m_now += 2ms) {
             if (m_nextRequest <= m_now) {
                 m_nextRequest += m_gap;
-                m_desk.request(m_now, ticketNumber(m_number++));
+                m_client.request(m_now, ticketNumber(m_number++));
             }
             work();
-            driveDesk();
+            driveClient();
             driveArbiter();
         }
     }
@@ -141,7 +141,7 @@
         for (std::size_t i = 0; i < m_running.size();) {
             Running &running = m_running[i];
             if (running.endsAt <= m_now) {
-                m_desk.release(m_now, {running.grant.id, running.grant.endpoint, ReleaseKind::Completed, 300ms, 40ms, 423, 512});
+                m_client.release(m_now, {running.grant.id, running.grant.endpoint, ReleaseKind::Completed, 300ms, 40ms, 423, 512});
                 m_running[i] = m_running.back();
                 m_running.pop_back();
                 any = true;
@@ -150,26 +150,26 @@
             if (running.nextProgress <= m_now) {
                 running.nextProgress += progressGap;
                 running.tokens += progressTokens;
-                m_desk.progress(m_now, running.grant.id, running.tokens);
+                m_client.progress(m_now, running.grant.id, running.tokens);
                 any = true;
             }
             ++i;
         }
-        totals.deskProcessor += any ? processorSeconds() - start : 0;
+        totals.clientProcessor += any ? processorSeconds() - start : 0;
     }
 
-    void driveDesk()
+    void driveClient()
     {
-        if (const std::optional<TimePoint> wake = m_desk.nextWake(); wake && *wake <= m_now) {
+        if (const std::optional<TimePoint> wake = m_client.nextWake(); wake && *wake <= m_now) {
             const double start = processorSeconds();
-            m_desk.tick(m_now);
-            totals.deskProcessor += processorSeconds() - start;
+            m_client.tick(m_now);
+            totals.clientProcessor += processorSeconds() - start;
         }
-        for (const PermitClientAction &action : m_desk.takeActions()) {
+        for (const PermitClientAction &action : m_client.takeActions()) {
             if (const SendPermitRequests *message = std::get_if<SendPermitRequests>(&action)) {
                 sendRequests(message->batch);
             } else if (const Grant *grant = std::get_if<Grant>(&action)) {
-                m_running.push_back({*grant, m_now + requestLife, m_now + progressGap, 0});
+                m_running.push_back({*grant, m_now + requestDuration, m_now + progressGap, 0});
             }
         }
     }
@@ -182,7 +182,7 @@
         const Result<PermitRequests, PermitDecodeError> decoded = decodePermitRequests(bytes);
         REQUIRE(decoded.has_value());
         m_term.requests(m_now, decoded.value());
-        totals.deskProcessor += encoded - start;
+        totals.clientProcessor += encoded - start;
         totals.arbiterProcessor += processorSeconds() - encoded;
         ++totals.requestFrames;
         totals.requestBytes += bytes.size();
@@ -201,8 +201,8 @@
             totals.arbiterProcessor += encoded - start;
             const Result<PermitAnswers, PermitDecodeError> decoded = decodePermitAnswers(bytes);
             REQUIRE(decoded.has_value());
-            m_desk.answers(m_now, arbiterHost, decoded.value());
-            totals.deskProcessor += processorSeconds() - encoded;
+            m_client.answers(m_now, arbiterHost, decoded.value());
+            totals.clientProcessor += processorSeconds() - encoded;
             ++totals.answerFrames;
             totals.answerBytes += bytes.size();
         }
@@ -210,7 +210,7 @@
 
     Duration m_gap;
     TimePoint m_now = TimePoint(1h);
-    PermitClient m_desk;
+    PermitClient m_client;
     ArbiterTerm<EndpointPool> m_term;
     TimePoint m_nextRequest;
     std::size_t m_number = 0;
@@ -252,21 +252,21 @@
 }
 
 /** Makes the host an arbiter with a desk at every other host, for the first shard that it owns; false if it owns none. */
-bool connectDesks(DroppingPort &port, boost::asio::io_context &context, const std::vector<HostId> &hosts, std::size_t shards)
+bool connectClients(DroppingPort &port, boost::asio::io_context &context, const std::vector<HostId> &hosts, std::size_t shards)
 {
     for (std::size_t i = 0; i < shards; ++i) {
         const ShardId shard("model-" + std::to_string(i));
         if (rendezvousOwner(hosts, "arbiter/" + shard.text()) != hosts.front()) {
             continue;
         }
-        for (std::size_t desk = 1; desk < hosts.size(); ++desk) {
+        for (std::size_t client = 1; client < hosts.size(); ++client) {
             PermitRequests batch;
             batch.shard = shard;
-            batch.sender = hosts[desk];
+            batch.sender = hosts[client];
             batch.incarnation = 1;
             batch.sequence = 1;
             batch.complete = true;
-            port.handlers.at(MessageKind::ArbiterRequests)(hosts[desk], encodePermitRequests(batch));
+            port.handlers.at(MessageKind::ArbiterRequests)(hosts[client], encodePermitRequests(batch));
         }
         pump(context);
         return true;
@@ -294,7 +294,7 @@
                     static_cast<double>(totals.requestBytes) / seconds,
                     static_cast<double>(totals.answerFrames) / seconds,
                     static_cast<double>(totals.answerBytes) / seconds,
-                    totals.deskProcessor * 1e6 / seconds,
+                    totals.clientProcessor * 1e6 / seconds,
                     totals.arbiterProcessor * 1e6 / seconds);
     }
     std::fflush(stdout);
@@ -385,7 +385,7 @@
         }
         const double changed = processorSeconds();
         host->setHosts(hosts);
-        REQUIRE(connectDesks(port, context, hosts, shards));
+        REQUIRE(connectClients(port, context, hosts, shards));
         const std::size_t served = mallinfo2().uordblks - memoryBefore;
         std::printf("slope permit-host shards=%zu memory_kb_a_shard=%.1f memory_kb_of_a_served_shard=%.0f pass_us=%.2f pass_us_with_369_desks=%.2f "
                     "host_change_ms=%.2f preset_change_ms=%.2f\n",
--- a/src/arbiter/grantorder.cpp
+++ b/src/arbiter/grantorder.cpp
@@ -40,14 +40,14 @@
     m_rules = std::move(rules);
     std::vector<ProgressShare::Share> shares;
     for (const ClassRule &rule : m_rules.inForce()->preset.classes) {
-        shares.push_back({rule.name, std::max(m_options.leastShare, rule.minimumShare)});
+        shares.push_back({rule.name, std::max(m_options.minShare, rule.minimumShare)});
     }
-    m_shares.setShares(shares, m_options.mostShares);
-    std::vector<QueuedTicket> gone;
+    m_shares.setShares(shares, m_options.maxShareSum);
+    std::vector<QueuedTicket> removed;
     for (QueuedTicket &queued : waiting) {
         const ClassRule *rule = m_rules.findClass(queued.ticket.classId);
         if (!rule) {
-            gone.push_back(std::move(queued));
+            removed.push_back(std::move(queued));
             continue;
         }
         const ClassRule *formerRule = former.findClass(queued.ticket.classId);
@@ -56,7 +56,7 @@
         queued.due = queued.arrived + rule->firstTokenTarget;
         enqueue(std::move(queued));
     }
-    return gone;
+    return removed;
 }
 
 const RuleIndex &GrantOrder::rules() const
@@ -128,7 +128,7 @@
     if (!due || *due == inTurn->queued->ticket.classId) {
         return inTurn;
     }
-    if (m_deferrals < mostDeferrals && inTurn->queued->deadline - now < deadlineGuard) {
+    if (m_deferrals < maxDeferrals && inTurn->queued->deadline - now < deadlineGuard) {
         inTurn->deferred = true;
         return inTurn;
     }
@@ -141,11 +141,11 @@
     std::optional<Pick> pick;
     m_fairness.visitInOrder(rule->tier, [&](const CustomerId &customer, double) {
         const TicketQueue::Backlog *backlog = m_queue.backlog(rule->tier, customer);
-        const auto line = backlog->classes.find(id);
-        if (line == backlog->classes.end()) {
+        const auto tickets = backlog->classes.find(id);
+        if (tickets == backlog->classes.end()) {
             return true;
         }
-        pick = Pick{line->second.begin()->ticket, true};
+        pick = Pick{tickets->second.begin()->ticket, true};
         return false;
     });
     return pick;
@@ -154,7 +154,7 @@
 QueuedTicket GrantOrder::grant(const Pick &pick, double charge)
 {
     const Ticket &ticket = pick.queued->ticket;
-    m_shares.noteGrant(ticket.classId, [this](const ClassId &id) { return hasWaiting(id); });
+    m_shares.recordGrant(ticket.classId, [this](const ClassId &id) { return hasWaiting(id); });
     m_fairness.charge(pick.queued->tier, ticket.customer, charge / m_rules.weightOf(ticket.customer));
     m_lastOutOfTurn = pick.outOfTurn;
     m_deferrals = pick.deferred ? m_deferrals + 1 : (pick.outOfTurn ? 0 : m_deferrals);
@@ -175,7 +175,7 @@
     for (const auto &[classId, size] : m_queue.classSizes()) {
         const ClassRule *rule = m_rules.findClass(classId);
         if (size > rule->queueLimit) {
-            return newestOfFattest(m_queue.tiers().at(rule->tier), &classId);
+            return newestOfLargestBacklog(m_queue.tiers().at(rule->tier), &classId);
         }
         counted += size - std::min(size, reserveOf(classId));
     }
@@ -183,43 +183,43 @@
         return nullptr;
     }
     for (auto lowest = m_queue.tiers().rbegin(); lowest != m_queue.tiers().rend(); ++lowest) {
-        if (const QueuedTicket *found = newestOfFattest(lowest->second, nullptr)) {
+        if (const QueuedTicket *found = newestOfLargestBacklog(lowest->second, nullptr)) {
             return found;
         }
     }
     return nullptr;
 }
 
-const QueuedTicket *GrantOrder::newestOfFattest(const TicketQueue::Backlogs &backlogs, const ClassId *only) const
+const QueuedTicket *GrantOrder::newestOfLargestBacklog(const TicketQueue::Backlogs &backlogs, const ClassId *only) const
 {
     const QueuedTicket *victim = nullptr;
-    double most = 0;
+    double largest = 0;
     for (const auto &[customer, backlog] : backlogs) {
-        const Shedable shedable = shedableOf(backlog, only);
-        const double size = static_cast<double>(shedable.size) / m_rules.weightOf(customer);
-        if (size > 0 && (size > most || (size == most && isNewer(*shedable.newest, *victim)))) {
-            victim = shedable.newest;
-            most = size;
+        const Sheddable sheddable = sheddableOf(backlog, only);
+        const double size = static_cast<double>(sheddable.size) / m_rules.weightOf(customer);
+        if (size > 0 && (size > largest || (size == largest && isNewer(*sheddable.newest, *victim)))) {
+            victim = sheddable.newest;
+            largest = size;
         }
     }
     return victim;
 }
 
-GrantOrder::Shedable GrantOrder::shedableOf(const TicketQueue::Backlog &backlog, const ClassId *only) const
+GrantOrder::Sheddable GrantOrder::sheddableOf(const TicketQueue::Backlog &backlog, const ClassId *only) const
 {
-    Shedable shedable;
-    for (const auto &[classId, line] : backlog.classes) {
-        if (!isShedable(classId, only)) {
+    Sheddable sheddable;
+    for (const auto &[classId, tickets] : backlog.classes) {
+        if (!isSheddable(classId, only)) {
             continue;
         }
-        const QueuedTicket *last = line.rbegin()->ticket;
-        shedable.newest = !shedable.newest || isNewer(*last, *shedable.newest) ? last : shedable.newest;
-        shedable.size += line.size();
+        const QueuedTicket *last = tickets.rbegin()->ticket;
+        sheddable.newest = !sheddable.newest || isNewer(*last, *sheddable.newest) ? last : sheddable.newest;
+        sheddable.size += tickets.size();
     }
-    return shedable;
+    return sheddable;
 }
 
-bool GrantOrder::isShedable(const ClassId &id, const ClassId *only) const
+bool GrantOrder::isSheddable(const ClassId &id, const ClassId *only) const
 {
     return only ? id == *only : !isWithinReserve(id);
 }
@@ -232,7 +232,7 @@
 std::size_t GrantOrder::reserveOf(const ClassId &id) const
 {
     const ClassRule *rule = m_rules.findClass(id);
-    return rule ? std::min<std::size_t>(m_options.reservedPlaces, rule->queueLimit) : 0;
+    return rule ? std::min<std::size_t>(m_options.reservedTickets, rule->queueLimit) : 0;
 }
 
 std::size_t GrantOrder::grantsUntil(const QueuedTicket &queued) const
@@ -251,7 +251,7 @@
     return std::min(static_cast<std::size_t>(before), byShare);
 }
 
-std::size_t GrantOrder::leastGrantsUntil(Tier tier, const ClassId &id) const
+std::size_t GrantOrder::minGrantsUntil(Tier tier, const ClassId &id) const
 {
     return m_rules.isFifo() ? 1 : std::min(m_queue.sizeAbove(tier) + 1, grantsByShare(1, id));
 }
--- a/src/arbiter/grantorder.h
+++ b/src/arbiter/grantorder.h
@@ -15,13 +15,13 @@
 // the sum and C the number of the shares of lower classes, and g the shard's mean time between grants,
 //   added wait <= g * min(n + 1, (S * (n + 1) + 2 * C) / (1 - S)),
 // since no two grants in succession are out of turn and a bucket holds at most two. A grant out of turn is put
-// off, at most mostDeferrals times, while the request that is next in order is about to reach its deadline.
+// off, at most maxDeferrals times, while the request that is next in order is about to reach its deadline.
 //
 // What they give a lower class: from the moment it has a ticket waiting, one of its tickets is granted within
-//   ceil(1 / share) + (2 + mostDeferrals) * classes
+//   ceil(1 / share) + (2 + maxDeferrals) * classes
 // grants of the shard, however many higher ones wait, not counting grants of places that preemption freed.
 //
-// Order of shedding. Each class has ArbiterOptions::reservedPlaces of its own, which the shard's budget does not
+// Order of shedding. Each class has ArbiterOptions::reservedTickets of its own, which the shard's budget does not
 // count: emptying one would make no room for anybody else, and with none at all a flood of higher requests would
 // shed a lower class for ever before its share could act. Above them the shard holds queueBudget tickets; over
 // it, the lowest tier with a ticket beyond its class's reserve loses one: the newest of the customer with the most
@@ -49,7 +49,7 @@
 {
 public:
     /** Times in succession that a due class steps back for a request which is about to reach its deadline. */
-    static constexpr int mostDeferrals = 4;
+    static constexpr int maxDeferrals = 4;
 
     struct Pick
     {
@@ -86,22 +86,22 @@
     /** Grants until a ticket that has just been added gets its own, as far as can be told now. */
     std::size_t grantsUntil(const QueuedTicket &queued) const;
     /** The same for a ticket of the class that is first among its own. */
-    std::size_t leastGrantsUntil(Tier tier, const ClassId &id) const;
+    std::size_t minGrantsUntil(Tier tier, const ClassId &id) const;
 
     const TicketQueue &queue() const;
 
 private:
     /** What of a customer's backlog may be shed. */
-    struct Shedable
+    struct Sheddable
     {
         std::size_t size = 0;
         const QueuedTicket *newest = nullptr;
     };
 
     std::optional<Pick> pickOfClass(const ClassId &id) const;
-    const QueuedTicket *newestOfFattest(const TicketQueue::Backlogs &backlogs, const ClassId *only) const;
-    Shedable shedableOf(const TicketQueue::Backlog &backlog, const ClassId *only) const;
-    bool isShedable(const ClassId &id, const ClassId *only) const;
+    const QueuedTicket *newestOfLargestBacklog(const TicketQueue::Backlogs &backlogs, const ClassId *only) const;
+    Sheddable sheddableOf(const TicketQueue::Backlog &backlog, const ClassId *only) const;
+    bool isSheddable(const ClassId &id, const ClassId *only) const;
     std::size_t reserveOf(const ClassId &id) const;
     std::size_t grantsByShare(std::size_t position, const ClassId &id) const;
     const QueuedTicket &enqueue(QueuedTicket &&queued);
--- a/src/arbiter/localshare.cpp
+++ b/src/arbiter/localshare.cpp
@@ -34,22 +34,22 @@
 
 void HostMemory::update(TimePoint now, std::span<const HostId> hosts)
 {
-    if (m_live.size() >= m_most.size() || now - m_mostAt > hostMemorySpan) {
-        m_most = m_live;
-        m_mostAt = now;
+    if (m_live.size() >= m_largest.size() || now - m_largestAt > hostMemorySpan) {
+        m_largest = m_live;
+        m_largestAt = now;
     }
     m_live.assign(hosts.begin(), hosts.end());
 }
 
-std::span<const HostId> HostMemory::most(TimePoint now) const
+std::span<const HostId> HostMemory::largest(TimePoint now) const
 {
-    const bool remembered = m_most.size() > m_live.size() && now - m_mostAt <= hostMemorySpan;
-    return remembered ? m_most : m_live;
+    const bool remembered = m_largest.size() > m_live.size() && now - m_largestAt <= hostMemorySpan;
+    return remembered ? m_largest : m_live;
 }
 
 bool HostMemory::seesMajority(TimePoint now) const
 {
-    return 2 * m_live.size() > most(now).size();
+    return 2 * m_live.size() > largest(now).size();
 }
 
 LocalShare::LocalShare(LocalShareOptions options)
@@ -134,8 +134,8 @@
         return std::nullopt;
     }
     const AttemptId id = queue->second.arrivals.begin()->second;
-    const std::optional<EndpointId> place = findPlace(now, mode, m_tickets.at(id).avoid);
-    if (!place) {
+    const std::optional<EndpointId> slot = findSlot(now, mode, m_tickets.at(id).avoid);
+    if (!slot) {
         return std::nullopt;
     }
     if (queue->second.credit >= wholeCredit) {
@@ -143,11 +143,11 @@
     }
     creditWaitingClasses();
     remove(id);
-    occupy(now, id, *place);
-    return LocalGrant{id, *place};
+    occupy(now, id, *slot);
+    return LocalGrant{id, *slot};
 }
 
-std::optional<AttemptId> LocalShare::lowest() const
+std::optional<AttemptId> LocalShare::shedCandidate() const
 {
     const auto queue = lowestClass();
     if (queue == m_queues.end()) {
@@ -165,7 +165,7 @@
     for (const ClassRule &rule : m_preset->preset.classes) {
         limit += rule.queueLimit;
     }
-    return std::max<std::size_t>(1, limit / std::max<std::size_t>(1, m_hosts.most(now).size()));
+    return std::max<std::size_t>(1, limit / std::max<std::size_t>(1, m_hosts.largest(now).size()));
 }
 
 std::uint32_t LocalShare::share(TimePoint now, const EndpointId &endpoint)
@@ -175,7 +175,7 @@
     return share == m_shares.end() ? 0 : share->second;
 }
 
-bool LocalShare::hasNoTaker() const
+bool LocalShare::hasNoUsableEndpoint() const
 {
     return m_endpointsKnown && std::none_of(m_endpoints.begin(), m_endpoints.end(), takesWork);
 }
@@ -194,10 +194,10 @@
             best = queue;
             continue;
         }
-        const bool owed = !fifo && queue->second.credit >= wholeCredit;
-        const bool bestOwed = !fifo && best->second.credit >= wholeCredit;
-        if (owed != bestOwed) {
-            best = owed ? queue : best;
+        const bool isDue = !fifo && queue->second.credit >= wholeCredit;
+        const bool bestIsDue = !fifo && best->second.credit >= wholeCredit;
+        if (isDue != bestIsDue) {
+            best = isDue ? queue : best;
             continue;
         }
         const Tier tier = tierOf(queue->first);
@@ -256,7 +256,7 @@
     }
 }
 
-std::optional<EndpointId> LocalShare::findPlace(TimePoint now, LocalShareMode mode, const std::vector<EndpointId> &avoid)
+std::optional<EndpointId> LocalShare::findSlot(TimePoint now, LocalShareMode mode, const std::vector<EndpointId> &avoid)
 {
     std::optional<EndpointId> best;
     bool bestAvoided = false;
@@ -282,19 +282,19 @@
     if (!takesWork(endpoint)) {
         return std::nullopt;
     }
-    std::size_t places = endpoint.slots;
+    std::size_t slots = endpoint.slots;
     std::size_t used = 0;
     if (mode == LocalShareMode::StaticShare) {
-        places = share(now, endpoint.id);
+        slots = share(now, endpoint.id);
         used = runningAt(endpoint.id);
     } else {
         const auto report = m_reports.find(endpoint.id);
         used = report == m_reports.end() ? runningAt(endpoint.id) : report->second.load + startedSince(endpoint.id, report->second.at);
     }
-    if (used >= places) {
+    if (used >= slots) {
         return std::nullopt;
     }
-    return static_cast<double>(used) / static_cast<double>(places);
+    return static_cast<double>(used) / static_cast<double>(slots);
 }
 
 std::size_t LocalShare::runningAt(const EndpointId &endpoint) const
@@ -311,7 +311,7 @@
 
 void LocalShare::refreshShares(TimePoint now)
 {
-    const std::span<const HostId> hosts = m_hosts.most(now);
+    const std::span<const HostId> hosts = m_hosts.largest(now);
     if (!m_sharesStale && hosts.size() == m_sharesFor) {
         return;
     }
@@ -330,7 +330,7 @@
         }
     }
     if (total == 0 && !m_shares.empty()) {
-        m_shares[lastResort(hosts)] = 1;
+        m_shares[fallbackEndpoint(hosts)] = 1;
     }
 }
 
@@ -342,7 +342,7 @@
     return endpoint.slots / count + (ranksFirst ? 1 : 0);
 }
 
-EndpointId LocalShare::lastResort(std::span<const HostId> hosts) const
+EndpointId LocalShare::fallbackEndpoint(std::span<const HostId> hosts) const
 {
     EndpointId best;
     std::size_t bestRank = std::numeric_limits<std::size_t>::max();
@@ -351,10 +351,10 @@
             continue;
         }
         const std::vector<HostId> rank = rendezvousRank(hosts, shareKey(endpoint.id), hosts.size());
-        const std::size_t place = static_cast<std::size_t>(std::find(rank.begin(), rank.end(), m_options.self) - rank.begin());
-        if (place < bestRank) {
+        const std::size_t position = static_cast<std::size_t>(std::find(rank.begin(), rank.end(), m_options.self) - rank.begin());
+        if (position < bestRank) {
             best = endpoint.id;
-            bestRank = place;
+            bestRank = position;
         }
     }
     return best;
--- a/src/arbiter/localshare.h
+++ b/src/arbiter/localshare.h
@@ -60,14 +60,14 @@
         return m_live;
     }
     /** The largest list within the span. */
-    std::span<const HostId> most(TimePoint now) const;
-    /** More than half of `most` are live as seen from here. */
+    std::span<const HostId> largest(TimePoint now) const;
+    /** More than half of `largest` are live as seen from here. */
     bool seesMajority(TimePoint now) const;
 
 private:
     std::vector<HostId> m_live;
-    std::vector<HostId> m_most;
-    TimePoint m_mostAt;
+    std::vector<HostId> m_largest;
+    TimePoint m_largestAt;
 };
 
 struct LocalShareOptions
@@ -104,7 +104,7 @@
     /** The next ticket and its place, or none. The ticket is removed and its place occupied. */
     std::optional<LocalGrant> grantNext(TimePoint now, LocalShareMode mode);
     /** The ticket that must go first when one has to: newest of the lowest waiting tier. */
-    std::optional<AttemptId> lowest() const;
+    std::optional<AttemptId> shedCandidate() const;
     /** Most tickets this host keeps while alone: its part of the classes' queue limits; at least one. */
     std::size_t queueBudget(TimePoint now) const;
 
@@ -115,7 +115,7 @@
         return m_tickets.size();
     }
     /** The endpoints were told and none of them takes work. */
-    bool hasNoTaker() const;
+    bool hasNoUsableEndpoint() const;
     /** The preset is known and has no such class. */
     bool isUnknownClass(const ClassId &classId) const;
 
@@ -149,14 +149,14 @@
     double minimumShareOf(const ClassId &classId) const;
     bool isFifo() const;
     void creditWaitingClasses();
-    std::optional<EndpointId> findPlace(TimePoint now, LocalShareMode mode, const std::vector<EndpointId> &avoid);
+    std::optional<EndpointId> findSlot(TimePoint now, LocalShareMode mode, const std::vector<EndpointId> &avoid);
     /** Occupied part of the places, or none when there is no free one. */
     std::optional<double> loadOf(TimePoint now, LocalShareMode mode, const Endpoint &endpoint);
     std::size_t runningAt(const EndpointId &endpoint) const;
     std::size_t startedSince(const EndpointId &endpoint, TimePoint since) const;
     void refreshShares(TimePoint now);
     std::uint32_t exactShare(std::span<const HostId> hosts, const Endpoint &endpoint) const;
-    EndpointId lastResort(std::span<const HostId> hosts) const;
+    EndpointId fallbackEndpoint(std::span<const HostId> hosts) const;
 
     LocalShareOptions m_options;
     std::shared_ptr<const PresetInForce> m_preset;
--- a/src/arbiter/localshare_test.cpp
+++ b/src/arbiter/localshare_test.cpp
@@ -69,7 +69,7 @@
         }
         std::uint32_t slots = 0;
         std::uint32_t shares = 0;
-        std::uint32_t lastResorts = 0;
+        std::uint32_t fallbackShares = 0;
         for (const Endpoint &endpoint : endpoints) {
             slots += endpoint.slots;
         }
@@ -81,10 +81,10 @@
             }
             RC_ASSERT(own >= 1U);
             shares += own;
-            lastResorts += own == 1 ? 1 : 0;
+            fallbackShares += own == 1 ? 1 : 0;
         }
         RC_ASSERT(shares >= slots);
-        RC_ASSERT(shares <= slots + lastResorts);
+        RC_ASSERT(shares <= slots + fallbackShares);
     });
 }
 
@@ -121,20 +121,20 @@
             const int tier = waiting.at(grant->id);
             waiting.erase(grant->id);
             int highest = 2;
-            std::set<int> left;
+            std::set<int> remainingTiers;
             for (const auto &[id, waitingTier] : waiting) {
                 highest = std::min(highest, waitingTier);
-                left.insert(waitingTier);
+                remainingTiers.insert(waitingTier);
             }
             // Out of order only by a class's share: at most each 20th grant of a class with a share of 0.05.
             RC_ASSERT((tier <= highest || sinceLast[tier] >= 19));
             for (int level = 0; level < 3; ++level) {
                 sinceLast[level] = level == tier ? 0 : sinceLast[level] + 1;
-                RC_ASSERT((!left.contains(level) || sinceLast[level] <= 22));
+                RC_ASSERT((!remainingTiers.contains(level) || sinceLast[level] <= 22));
             }
         }
         while (share.waiting() > 0) {
-            const AttemptId victim = *share.lowest();
+            const AttemptId victim = *share.shedCandidate();
             for (const auto &[id, tier] : waiting) {
                 RC_ASSERT(tier <= waiting.at(victim));
             }
@@ -149,16 +149,16 @@
     LocalShare share = shareOf(HostId("host-0"), hostsOf(8), {endpointOf("e1", 4), endpointOf("e2", 4)});
     share.loadReport(start, {EndpointId("e1"), 3, 0, 0, 0s});
     share.loadReport(start, {EndpointId("e2"), 1, 1, 0, 0s});
-    std::vector<EndpointId> places;
+    std::vector<EndpointId> granted;
     for (int i = 0; i < 5; ++i) {
         share.add(attempt(i), ClassId("tier-0"), start, {});
         if (const std::optional<LocalGrant> grant = share.grantNext(start + 1ms, LocalShareMode::LoadReports)) {
-            places.push_back(grant->endpoint);
+            granted.push_back(grant->endpoint);
         }
     }
     const EndpointId e1("e1");
     const EndpointId e2("e2");
-    REQUIRE(places == std::vector<EndpointId>{e2, e1, e2});
+    REQUIRE(granted == std::vector<EndpointId>{e2, e1, e2});
     share.loadReport(start + 2ms, {e1, 0, 0, 0, 0s});
     REQUIRE(share.grantNext(start + 3ms, LocalShareMode::LoadReports)->endpoint == e1);
 }
@@ -175,5 +175,5 @@
     REQUIRE(share.grantNext(start, LocalShareMode::StaticShare)->endpoint == EndpointId("e1")); // better than none
     REQUIRE_FALSE(share.grantNext(start, LocalShareMode::StaticShare).has_value());
     share.setEndpoints(std::vector{leaving});
-    REQUIRE(share.hasNoTaker());
+    REQUIRE(share.hasNoUsableEndpoint());
 }
--- a/src/arbiter/permitclient_test.cpp
+++ b/src/arbiter/permitclient_test.cpp
@@ -21,25 +21,25 @@
 {
     double loss = 0;
     double doubling = 0;
-    Duration mostDelay{};
+    Duration maxDelay{};
 };
 
 /** One desk, three hosts that would all serve, links that lose, double, delay and reorder, and a relay's memory. */
-class DeskWorld
+class ClientWorld
 {
 public:
-    explicit DeskWorld(std::uint64_t seed)
+    explicit ClientWorld(std::uint64_t seed)
         : m_random(seed)
-        , m_desk({.shard = model, .self = entry}, m_now)
+        , m_client({.shard = model, .self = entry}, m_now)
     {
         const std::vector<Endpoint> endpoints{endpointNamed("e1", 4), endpointNamed("e2", 4)};
-        m_desk.applyPreset(m_now, presetOfTwoClasses());
-        m_desk.setEndpoints(m_now, endpoints);
-        m_desk.setHosts(m_now, arbiters);
+        m_client.applyPreset(m_now, presetOfTwoClasses());
+        m_client.setEndpoints(m_now, endpoints);
+        m_client.setHosts(m_now, arbiters);
         for (const HostId &host : arbiters) {
             start(host);
         }
-        m_desk.ownerChanged(m_now, arbiters[0]);
+        m_client.ownerChanged(m_now, arbiters[0]);
     }
 
     /** A new process on the host: nothing is remembered. */
@@ -69,7 +69,7 @@
     void setOwner(const HostId &host)
     {
         m_owner = host;
-        m_desk.ownerChanged(m_now, host);
+        m_client.ownerChanged(m_now, host);
     }
     void calm()
     {
@@ -85,18 +85,18 @@
     AttemptId request(const ClassId &classId = ClassId("query"), Duration deadline = 10s)
     {
         Ticket ticket;
-        ticket.id = {RequestId("r" + std::to_string(m_asked.size())), 0};
+        ticket.id = {RequestId("r" + std::to_string(m_requested.size())), 0};
         ticket.classId = classId;
         ticket.deadlineIn = deadline;
-        m_asked.push_back(ticket.id);
-        m_desk.request(m_now, ticket);
+        m_requested.push_back(ticket.id);
+        m_client.request(m_now, ticket);
         return ticket.id;
     }
     void cancel(const AttemptId &id)
     {
         if (!m_answers.contains(id)) {
             m_cancelled.insert(id);
-            m_desk.cancel(m_now, id);
+            m_client.cancel(m_now, id);
         }
     }
     void release(const AttemptId &id)
@@ -105,7 +105,7 @@
         release.id = id;
         release.endpoint = m_running.at(id).endpoint;
         m_running.erase(id);
-        m_desk.release(m_now, release);
+        m_client.release(m_now, release);
     }
     void run(Duration time)
     {
@@ -114,9 +114,9 @@
         }
     }
 
-    PermitClient &desk()
+    PermitClient &client()
     {
-        return m_desk;
+        return m_client;
     }
     TimePoint now() const
     {
@@ -126,9 +126,9 @@
     {
         return m_running;
     }
-    const std::vector<AttemptId> &asked() const
+    const std::vector<AttemptId> &requested() const
     {
-        return m_asked;
+        return m_requested;
     }
     std::size_t answersTo(const AttemptId &id) const
     {
@@ -149,7 +149,7 @@
     {
         return m_terms.at(host).status();
     }
-    /** What the relay was told against the rules; empty when nothing was. */
+    /** What the relay was sent against the rules; empty when nothing was. */
     const std::string &violation() const
     {
         return m_violation;
@@ -178,12 +178,12 @@
                 }
             }
         }
-        m_desk.tick(m_now);
+        m_client.tick(m_now);
         carryOutAll();
     }
     void carryOutAll()
     {
-        for (PermitClientAction &action : m_desk.takeActions()) {
+        for (PermitClientAction &action : m_client.takeActions()) {
             carryOut(action);
         }
     }
@@ -195,7 +195,7 @@
     {
         const int copies = m_random.uniform() < m_chaos.loss ? 0 : m_random.uniform() < m_chaos.doubling ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
-            m_messages.push_back({m_now + fromSeconds(m_random.uniform() * toSeconds(m_chaos.mostDelay)), arbiter, content});
+            m_messages.push_back({m_now + fromSeconds(m_random.uniform() * toSeconds(m_chaos.maxDelay)), arbiter, content});
         }
     }
     void deliver()
@@ -216,7 +216,7 @@
             if (const PermitRequests *requests = std::get_if<PermitRequests>(&message.content)) {
                 m_terms.at(message.arbiter).requests(m_now, *requests);
             } else {
-                m_desk.answers(m_now, message.arbiter, std::get<PermitAnswers>(message.content));
+                m_client.answers(m_now, message.arbiter, std::get<PermitAnswers>(message.content));
                 carryOutAll();
             }
         }
@@ -227,16 +227,16 @@
             m_entriesSent += message->batch.tickets.size() + message->batch.held.size();
             transmit(message->to, std::move(message->batch));
         } else if (const Grant *grant = std::get_if<Grant>(&action)) {
-            noteAnswer(grant->id);
-            if (grant->epoch != 0 && grant->epoch != m_desk.status().epoch) {
+            recordAnswer(grant->id);
+            if (grant->epoch != 0 && grant->epoch != m_client.status().epoch) {
                 m_violation = "a former arbiter's grant was used";
             }
             m_running.emplace(grant->id, *grant);
         } else if (const Refusal *refusal = std::get_if<Refusal>(&action)) {
-            noteAnswer(refusal->id);
+            recordAnswer(refusal->id);
         }
     }
-    void noteAnswer(const AttemptId &id)
+    void recordAnswer(const AttemptId &id)
     {
         if (++m_answers[id] > 1) {
             m_violation = "answered twice";
@@ -249,13 +249,13 @@
     TimePoint m_now = TimePoint(1h);
     Random m_random;
     Chaos m_chaos;
-    PermitClient m_desk;
+    PermitClient m_client;
     HostId m_owner = arbiters[0];
     std::map<HostId, ArbiterTerm<SlotPool>> m_terms;
     std::set<HostId> m_down;
     std::set<HostId> m_frozen;
     std::vector<Message> m_messages;
-    std::vector<AttemptId> m_asked;
+    std::vector<AttemptId> m_requested;
     std::map<AttemptId, std::size_t> m_answers;
     std::set<AttemptId> m_cancelled;
     std::map<AttemptId, Grant> m_running;
@@ -275,17 +275,17 @@
     }
 };
 
-void play(DeskWorld &world, const Event &event)
+void play(ClientWorld &world, const Event &event)
 {
     const HostId &host = arbiters[event.choice % arbiters.size()];
     if (event.kind < 8) {
         world.request(ClassId(event.choice % 2 == 0 ? "query" : "tagging"), event.choice % 3 == 0 ? 500ms : 10s);
     } else if (event.kind < 12) {
-        const std::vector<AttemptId> &asked = world.asked();
+        const std::vector<AttemptId> &requested = world.requested();
         if (!world.running().empty()) {
             world.release(std::next(world.running().begin(), static_cast<std::ptrdiff_t>(event.choice % world.running().size()))->first);
-        } else if (!asked.empty()) {
-            world.cancel(asked[event.choice % asked.size()]);
+        } else if (!requested.empty()) {
+            world.cancel(requested[event.choice % requested.size()]);
         }
     } else if (event.kind == 12) {
         world.setOwner(host);
@@ -296,7 +296,7 @@
     } else if (event.kind == 15) {
         world.setChaos({0.3, 0.3, 1ms * (event.choice % 3000)});
     } else {
-        world.desk().linkUp(world.now());
+        world.client().linkUp(world.now());
     }
     world.run(step * event.wait);
 }
@@ -316,7 +316,7 @@
     // A caller must not hang for ever, be answered twice, or have its request run under two permits. Messages are
     // lost, doubled, late and overtaken; arbiters die, freeze, wake and serve two at a time; then all is calm.
     rc::prop("one answer, one permit, nothing leaked", [] {
-        DeskWorld world(*rc::gen::arbitrary<std::uint64_t>());
+        ClientWorld world(*rc::gen::arbitrary<std::uint64_t>());
         for (const Event &event : anyHistory()) {
             play(world, event);
             RC_ASSERT(world.violation() == "");
@@ -326,17 +326,17 @@
         world.request(); // a term that nobody talks to any more may remember what it likes
         world.run(25s);
         RC_ASSERT(world.violation() == "");
-        for (const AttemptId &id : world.asked()) {
+        for (const AttemptId &id : world.requested()) {
             RC_ASSERT(world.answersTo(id) == (world.wasCancelled(id) ? 0U : 1U));
         }
-        RC_ASSERT(!world.desk().status().fallback);
-        RC_ASSERT(world.desk().status().held == world.running().size());
+        RC_ASSERT(!world.client().status().fallback);
+        RC_ASSERT(world.client().status().held == world.running().size());
         RC_ASSERT(world.runningAtOwner() == world.running().size());
         while (!world.running().empty()) {
             world.release(world.running().begin()->first);
         }
         world.run(2s);
-        RC_ASSERT(world.desk().status().unacknowledged == 0U);
+        RC_ASSERT(world.client().status().unacknowledged == 0U);
         RC_ASSERT(world.runningAtOwner() == 0U);
     });
 }
@@ -345,11 +345,11 @@
 {
 
 /** The batches among the desk's actions, after a tick. */
-std::vector<PermitRequests> batchesOf(PermitClient &desk, TimePoint now)
+std::vector<PermitRequests> batchesOf(PermitClient &client, TimePoint now)
 {
-    desk.tick(now);
+    client.tick(now);
     std::vector<PermitRequests> batches;
-    for (PermitClientAction &action : desk.takeActions()) {
+    for (PermitClientAction &action : client.takeActions()) {
         if (SendPermitRequests *message = std::get_if<SendPermitRequests>(&action)) {
             batches.push_back(std::move(message->batch));
         }
@@ -380,12 +380,12 @@
 
 const TimePoint begin = TimePoint(1h);
 
-PermitClient deskOfOwner(PermitClientOptions options = {.shard = model, .self = entry})
+PermitClient clientOfOwner(PermitClientOptions options = {.shard = model, .self = entry})
 {
-    PermitClient desk(std::move(options), begin);
-    desk.applyPreset(begin, presetOfTwoClasses());
-    desk.ownerChanged(begin, arbiters[0]);
-    return desk;
+    PermitClient client(std::move(options), begin);
+    client.applyPreset(begin, presetOfTwoClasses());
+    client.ownerChanged(begin, arbiters[0]);
+    return client;
 }
 
 ArbiterTerm<SlotPool> termOfOneShard()
@@ -413,26 +413,26 @@
 {
     // The caller's request would go to a place that the arbiter has handed on. The arbiter's host stood still for three
     // seconds, too short for a new owner; the epoch is the present one. The answer names the last batch it had heard.
-    PermitClient desk = deskOfOwner();
-    desk.request(begin, ticketOf("r"));
-    REQUIRE(batchesOf(desk, begin).size() == 1);
-    desk.answers(begin + 3s, arbiters[0], granting("r", 1, 1, 1));
-    REQUIRE(desk.status().held == 0);
-    const std::vector<PermitRequests> again = batchesOf(desk, begin + 3s);
+    PermitClient client = clientOfOwner();
+    client.request(begin, ticketOf("r"));
+    REQUIRE(batchesOf(client, begin).size() == 1);
+    client.answers(begin + 3s, arbiters[0], granting("r", 1, 1, 1));
+    REQUIRE(client.status().held == 0);
+    const std::vector<PermitRequests> again = batchesOf(client, begin + 3s);
     REQUIRE(again.front().tickets.size() == 1);
-    desk.answers(begin + 3s + 10ms, arbiters[0], granting("r", 1, 2, again.back().sequence));
-    REQUIRE(desk.status().held == 1);
+    client.answers(begin + 3s + 10ms, arbiters[0], granting("r", 1, 2, again.back().sequence));
+    REQUIRE(client.status().held == 1);
 }
 
-TEST_CASE("a permit that is granted while everything is to be told again is told too")
+TEST_CASE("a permit that is granted while everything is to be sent again is told too")
 {
     // The engine would be filled above its limit: the arbiter forgets what the full re-send does not name. The answer
     // with the grant is also the one that shows a gap, so the ticket is on the list and no ticket any more.
-    PermitClient desk = deskOfOwner();
-    desk.request(begin, ticketOf("r"));
-    REQUIRE(batchesOf(desk, begin).size() == 1);
-    desk.answers(begin + 10ms, arbiters[0], granting("r", 1, 2, 1));
-    const std::vector<PermitRequests> again = batchesOf(desk, begin + 10ms);
+    PermitClient client = clientOfOwner();
+    client.request(begin, ticketOf("r"));
+    REQUIRE(batchesOf(client, begin).size() == 1);
+    client.answers(begin + 10ms, arbiters[0], granting("r", 1, 2, 1));
+    const std::vector<PermitRequests> again = batchesOf(client, begin + 10ms);
     REQUIRE(again.front().complete);
     REQUIRE(again.front().held.size() == 1);
 }
@@ -455,10 +455,10 @@
 {
     // The engine would be overfilled: the same attempt runs rightly under the present term of the same host.
     ArbiterTerm<SlotPool> term = termOfOneShard();
-    PermitRequests told = batchOf(1, true);
-    told.epochSeen = 4;
-    told.held = {{ticketOf("r"), EndpointId("e1"), 3}};
-    term.requests(begin, told);
+    PermitRequests sent = batchOf(1, true);
+    sent.epochSeen = 4;
+    sent.held = {{ticketOf("r"), EndpointId("e1"), 3}};
+    term.requests(begin, sent);
     PermitRequests back = batchOf(0, false);
     back.releases = {{{RequestId("r"), 0}, EndpointId("e1"), ReleaseKind::Unused}};
     back.onlyTerm = 4;
@@ -472,11 +472,11 @@
 TEST_CASE("a full desk refuses the lowest tier at once", "[tier-order]")
 {
     // A supervisor's request must not be the one that finds the desk full of tagging.
-    PermitClient desk = deskOfOwner({.shard = model, .self = entry, .maxWaiting = 2});
-    desk.request(begin, ticketOf("tag1", "tagging"));
-    desk.request(begin, ticketOf("tag2", "tagging"));
-    desk.request(begin + 1ms, ticketOf("query"));
-    const std::vector<PermitClientAction> actions = desk.takeActions();
+    PermitClient client = clientOfOwner({.shard = model, .self = entry, .maxWaiting = 2});
+    client.request(begin, ticketOf("tag1", "tagging"));
+    client.request(begin, ticketOf("tag2", "tagging"));
+    client.request(begin + 1ms, ticketOf("query"));
+    const std::vector<PermitClientAction> actions = client.takeActions();
     REQUIRE(actions.size() == 1);
     const Refusal &refusal = std::get<Refusal>(actions.front());
     REQUIRE((refusal.id.request == RequestId("tag2") && refusal.reason == RefusalReason::QueueFull));
@@ -485,32 +485,32 @@
 TEST_CASE("releases that nobody takes are bounded, and the arbiter starts from nothing")
 {
     // An arbiter out of reach for hours: each release waits for it. Over the bound the desk takes a new incarnation.
-    PermitClient desk = deskOfOwner({.shard = model, .self = entry, .maxReleases = 2});
+    PermitClient client = clientOfOwner({.shard = model, .self = entry, .maxReleases = 2});
     for (const char *name : {"a", "b", "c", "d"}) {
-        desk.request(begin, ticketOf(name));
+        client.request(begin, ticketOf(name));
     }
-    REQUIRE(batchesOf(desk, begin).size() == 1);
+    REQUIRE(batchesOf(client, begin).size() == 1);
     for (const char *name : {"a", "b", "c"}) {
-        desk.cancel(begin, {RequestId(name), 0});
+        client.cancel(begin, {RequestId(name), 0});
     }
-    REQUIRE(desk.status().unacknowledged == 0);
-    const std::vector<PermitRequests> batches = batchesOf(desk, begin + 10ms);
+    REQUIRE(client.status().unacknowledged == 0);
+    const std::vector<PermitRequests> batches = batchesOf(client, begin + 10ms);
     REQUIRE((batches.front().incarnation == 2 && batches.front().complete));
     REQUIRE(batches.front().tickets.size() == 1);
 }
 
-TEST_CASE("a request that nobody answers is refused at its deadline, and the arbiter is told")
+TEST_CASE("a request that nobody answers is refused at its deadline, and the arbiter is sent")
 {
     // The caller must hear "not run" in time though the arbiter is silent and the own share has no place. A ticket that
     // stayed with the arbiter would later be granted for nobody.
-    PermitClient desk = deskOfOwner();
-    desk.request(begin, ticketOf("r"));
-    REQUIRE(batchesOf(desk, begin).size() == 1);
-    REQUIRE(desk.nextWake().has_value());
-    desk.tick(begin + 30s);
-    const std::vector<PermitClientAction> actions = desk.takeActions();
+    PermitClient client = clientOfOwner();
+    client.request(begin, ticketOf("r"));
+    REQUIRE(batchesOf(client, begin).size() == 1);
+    REQUIRE(client.nextWake().has_value());
+    client.tick(begin + 30s);
+    const std::vector<PermitClientAction> actions = client.takeActions();
     REQUIRE(actions.size() == 2);
     REQUIRE(std::get<Refusal>(actions.front()).reason == RefusalReason::DeadlinePassed);
     REQUIRE(std::get<SendPermitRequests>(actions.back()).batch.cancels.size() == 1);
-    REQUIRE(desk.status().waiting == 0);
+    REQUIRE(client.status().waiting == 0);
 }
--- a/src/arbiter/permitcodec.cpp
+++ b/src/arbiter/permitcodec.cpp
@@ -30,13 +30,13 @@
     return toMicroseconds(std::clamp(duration, Duration::zero(), maxPermitDuration));
 }
 
-/** The first `most` entries of a list, each encoded by `encode`. */
+/** The first `maxEntries` entries of a list, each encoded by `encode`. */
 template <class Entry, class Encode>
-auto encodeList(FlatBufferBuilder &builder, const std::vector<Entry> &entries, std::size_t most, Encode encode)
+auto encodeList(FlatBufferBuilder &builder, const std::vector<Entry> &entries, std::size_t maxEntries, Encode encode)
 {
     using EntryOffset = decltype(encode(entries.front()));
     std::vector<EntryOffset> offsets;
-    const std::size_t count = std::min(entries.size(), most);
+    const std::size_t count = std::min(entries.size(), maxEntries);
     offsets.reserve(count);
     for (std::size_t i = 0; i < count; ++i) {
         offsets.push_back(encode(entries[i]));
@@ -165,13 +165,13 @@
 
     /** Each entry of a list that may be absent, through `read`. */
     template <class Entry, class Read>
-    auto list(const flatbuffers::Vector<Entry> *entries, std::size_t most, Read read)
+    auto list(const flatbuffers::Vector<Entry> *entries, std::size_t maxEntries, Read read)
     {
         std::vector<decltype(read(entries->Get(0)))> values;
         if (entries == nullptr) {
             return values;
         }
-        if (entries->size() > most) {
+        if (entries->size() > maxEntries) {
             fail(PermitDecodeError::TooManyEntries);
             return values;
         }
--- a/src/arbiter/permitcodec_test.cpp
+++ b/src/arbiter/permitcodec_test.cpp
@@ -33,9 +33,9 @@
 }
 
 template <class Make>
-auto anyList(std::size_t most, Make make)
+auto anyList(std::size_t maxSize, Make make)
 {
-    std::vector<decltype(make())> list(*rc::gen::inRange<std::size_t>(0, most + 1));
+    std::vector<decltype(make())> list(*rc::gen::inRange<std::size_t>(0, maxSize + 1));
     std::generate(list.begin(), list.end(), make);
     return list;
 }
