--- a/src/arbiter/arbiter.h
+++ b/src/arbiter/arbiter.h
@@ -1,39 +1,39 @@
 #pragma once
 
-// The arbiter of one shard: who gets the shard's fixed capacity next, and what the others are told.
+// The arbiter of one shard: decides which requests get the shard's fixed capacity, and when the others are refused.
 //
-// Entry hosts keep the requests and send small tickets; the arbiter answers each with one grant or one refusal,
-// and hears of the end of each grant by a release. It is a plain class: every call hands in the time, answers
-// wait in takeActions(), and nextWake() tells when tick() is due though nothing arrives.
+// Entry hosts keep the requests and send small tickets. The arbiter answers each ticket with one grant or one refusal;
+// a release reports the end of each grant. A plain class without I/O: every call passes the time, messages to send are
+// returned by takeActions(), and nextWake() returns when tick() is due if nothing arrives before.
 //
-// Promises
-//   - Tiers are strict in shedding and preemption, every class has a minimum share of the grants, customers of a
-//     tier are served fairly in tokens; grantorder.h states the order and the bounds.
-//   - Every message may come twice, late, or not at all. A repeated ticket has the first one's answer sent again
-//     (a grant whose time has run out is renewed: same endpoint, same epoch); one that comes after its release or
-//     cancel is dropped. Ended attempts are remembered for ArbiterOptions::endedMemory, at most endedLimit.
-//   - A ticket ends exactly once: by a grant and its release, by a refusal or by a cancel. A refusal is sent as soon
-//     as it is known: at the deadline, when even the tickets that must go before it fill the time that remains
-//     (Hopeless), when there is no room (QueueFull), or when no endpoint takes work for noEndpointGrace.
-//     retryAfter is the time in which the tickets that go before it would be worked off.
-//   - Hopeless counts tickets of the same and of higher tiers only, and never reaches a class's reserved places.
-//   - Preemption takes the newest work of the lowest tier that may be stopped, for a request of a higher tier that
-//     is about to miss its first-token target while every place is taken. The place it frees is granted in order
-//     of tiers, never by a minimum share, and work that was granted by a share, or by a former arbiter, is not
-//     stopped: otherwise a class could lose its place to a lower one, or a share would be undone at once.
-//   - A new preset holds for waiting tickets at once: tier, target, limits, and the deadline moved by the change of
-//     the class's. Running work is left alone.
+// Guarantees
+//   - Tiers are strict in shedding and preemption, every class has a minimum share of the grants, and the customers of
+//     a tier are served fairly in tokens. grantorder.h defines the order and its bounds.
+//   - Every message may be duplicated, late or lost. A repeated ticket gets the first answer again (an expired grant is
+//     renewed with the same endpoint and epoch); a ticket that arrives after its release or cancel is dropped. Ended
+//     attempts are remembered for ArbiterOptions::endedMemory, at most endedLimit of them.
+//   - A ticket ends exactly once: by a grant and its release, by a refusal or by a cancel. A refusal is sent as soon as
+//     it is known: when the deadline passes, when the tickets ahead of it take longer than the time that remains
+//     (Hopeless), when the queue is full (QueueFull), or when no endpoint takes work for noEndpointGrace. retryAfter is
+//     the time that the tickets ahead of it need.
+//   - Hopeless counts only tickets of the same and of higher tiers, and never affects the reserved tickets of a class.
+//   - Preemption stops the newest preemptible work of the lowest tier, for a request of a higher tier that is about to
+//     miss its first-token target while every slot is in use. The freed slot is granted in order of tiers, never by a
+//     minimum share, and work that was granted by a share or by a former arbiter is not stopped: otherwise a class could
+//     lose its slot to a lower one, or a share would be undone at once.
+//   - A new preset applies to waiting tickets at once: tier, target, limits, and the deadline, which moves by the change
+//     of the class's deadline. Running work is not affected.
 //
-// A new arbiter knows nothing of the work in flight. For collectingRound it grants no more than collectingFraction of
-// the places it sees free, so it can overfill the endpoints by that part at most, while entry hosts re-send
-// their tickets and held permits. Afterwards a host that has not re-sent is not waited for.
+// A new arbiter does not know the work in flight. During collectingRound it grants at most collectingFraction of the
+// slots that it sees free, which bounds the overload of the endpoints to that fraction, while entry hosts re-send their
+// tickets and held permits. After the round it does not wait for hosts that have not re-sent.
 //
-// Work of a dead host keeps its place for orphanHold, since its endpoint goes on without a reader; a host that
-// comes back re-sends its permits and has them again. A permit without any news for silentPermitLimit is given up.
+// Work of a dead host keeps its slot for orphanHold, since the endpoint continues without a reader; a host that returns
+// re-sends its permits and holds them again. A permit without any message for silentPermitLimit is reclaimed.
 //
-// Before the first preset tickets are dropped unanswered: entry hosts send them again.
+// Tickets that arrive before the first preset are dropped without an answer: entry hosts send them again.
 //
-// Cost: see grantorder.h; a call also asks the pool for free places while tickets wait. Memory: queueBudget plus
+// Cost: see grantorder.h; while tickets wait, a call also queries the pool for free slots. Memory: queueBudget plus
 // reservedTickets for each class, permitLimit, endedLimit.
 
 #include "arbiter/arbitertypes.h"
@@ -59,25 +59,25 @@
     /** @param pool the shard's endpoints; its owner updates it and must outlive the arbiter */
     Arbiter(ShardId shard, ArbiterOptions options, Pool &pool, Epoch epoch, TimePoint now);
 
-    /** An older version than the one in force, or the same, changes nothing. */
+    /** Ignores versions that are not newer than the one in force. */
     void applyPreset(TimePoint now, std::shared_ptr<const PresetInForce> preset);
 
     void ticket(TimePoint now, const Ticket &ticket);
-    /** The caller went away. Takes a permit back too: a grant may be on its way. */
+    /** The caller disconnected. Also frees a permit, since its grant may be in transit. */
     void cancel(TimePoint now, const AttemptId &id);
     void release(TimePoint now, const Release &release);
-    /** A sign of life of running work. @param tokens received so far */
+    /** Running work made progress. @param tokens received so far */
     void progress(TimePoint now, const AttemptId &id, std::uint32_t tokens);
-    /** An attempt that runs under a permit of a former arbiter, or is re-sent after a broken link. */
+    /** An attempt that runs under a permit of a former arbiter, or whose permit is re-sent after a broken link. */
     void held(TimePoint now, const HeldPermit &held);
-    /** Where an entry host is, for the hop cost; unknown hosts are placed without one. */
+    /** Sets an entry host's failure domain, for the hop cost; unknown hosts have no hop cost. */
     void hostDomain(const HostId &host, FailureDomain domain);
-    /** A host is dead: its tickets are dropped, its permits become orphans. */
+    /** A host died: its tickets are dropped and its permits become orphans. */
     void hostRemoved(TimePoint now, const HostId &host);
-    /** To be called at nextWake() and after the pool was updated. */
+    /** Call at nextWake() and after each update of the pool. */
     void tick(TimePoint now);
 
-    /** What is to be sent, in order; empties the list. */
+    /** Returns the messages to send, in order, and clears the list. */
     std::vector<ArbiterAction> takeActions();
     std::optional<TimePoint> nextWake() const;
     ArbiterStatus status() const;
@@ -115,9 +115,9 @@
     ArbiterOptions m_options;
     Pool &m_pool;
     Epoch m_epoch;
-    TimePoint m_now; ///< the latest time handed in
+    TimePoint m_now; ///< latest time passed in
     TimePoint m_collectingUntil;
-    std::size_t m_collectingGrants = 0; ///< made during the collecting round and not released yet
+    std::size_t m_collectingGrants = 0; ///< granted during the collecting round and not released yet
     TimePoint m_lastSweep;
     std::optional<TimePoint> m_withoutEndpointSince;
     GrantOrder m_order;
@@ -125,7 +125,7 @@
     EndedAttempts m_ended;
     LengthModel m_lengths;
     ServiceRate m_rate;
-    std::size_t m_preemptedSlots = 0; ///< places freed by preemption and not granted again yet
+    std::size_t m_preemptedSlots = 0; ///< slots freed by preemption and not granted again yet
     std::unordered_map<HostId, FailureDomain> m_hostDomains;
     std::vector<ArbiterAction> m_actions;
     ArbiterStatus m_counters;
--- a/src/arbiter/arbiter_test.cpp
+++ b/src/arbiter/arbiter_test.cpp
@@ -57,7 +57,7 @@
         }
         return text.str();
     }
-    /** Runs the shard dry and tells the order of grants. */
+    /** Releases running work until the queue is empty and returns the order of grants. */
     std::string drain(const std::string &running)
     {
         std::string order;
@@ -118,13 +118,13 @@
 
 TEST_CASE("a message that comes twice or late has the effect of one")
 {
-    // The caller must get one run. Links are cut and tickets re-sent while the first answer, or the release, is
-    // still on its way. Without memory of the attempt a late ticket would take a second place for a request that
-    // has ended, and a repeated one would wait behind itself.
+    // Guards against a second run of a request. After a broken link tickets are re-sent while the first answer or the
+    // release is in transit. Without the record of ended attempts a late ticket would take a second slot for a request
+    // that has ended, and a repeated one would be queued twice.
     Shard shard(threeTiers());
     const Ticket ticket = ticketOf("a", "draft");
 
-    SECTION("a granted attempt's grant is sent again, renewed once it has run out")
+    SECTION("a granted attempt's grant is sent again, renewed once it has expired")
     {
         shard.ticket(ticket);
         const Grant first = std::get<Grant>(shard.arbiter.takeActions().at(0).message);
@@ -160,7 +160,7 @@
         REQUIRE(shard.sentActions() == "+a +b");
         REQUIRE(shard.pool.totalUsed() == 1);
     }
-    SECTION("a cancel that crosses its grant gives the place back")
+    SECTION("a cancel that crosses its grant frees the slot")
     {
         shard.ticket(ticket);
         shard.arbiter.cancel(shard.now, ticket.id);
@@ -170,9 +170,9 @@
 
 TEST_CASE("a new arbiter grants little until entry hosts have re-sent what runs")
 {
-    // The callers of running streams see them slow down: the arbiter died, its successor knows of no work, and
-    // grants all places a second time. Without the collecting round every endpoint would hold up to twice its
-    // work; with it, a quarter more at most.
+    // Guards against overloaded endpoints after a takeover: the new arbiter does not know the running work and would grant
+    // all slots a second time. Without the collecting round every endpoint could hold twice its work; with it, at most a
+    // quarter more.
     CountedEndpoints pool{1, 8};
     TestArbiter arbiter(ShardId("s"), ArbiterOptions(), pool, 2, start);
     arbiter.applyPreset(start, threeTiers());
@@ -191,7 +191,7 @@
     REQUIRE(pool.totalUsed() == 9);
 }
 
-TEST_CASE("during the collecting round a place that was granted and given back is granted again")
+TEST_CASE("during the collecting round a slot that was granted and released is granted again")
 {
     CountedEndpoints pool{1, 4};
     TestArbiter arbiter(ShardId("s"), ArbiterOptions(), pool, 2, start);
@@ -203,7 +203,7 @@
     REQUIRE(arbiter.status().grants == 3);
 }
 
-TEST_CASE("what runs under a former arbiter's grant counts, not what was granted here")
+TEST_CASE("a permit held under a former arbiter replaces a grant made here for the same attempt")
 {
     CountedEndpoints pool{2, 1};
     TestArbiter arbiter(ShardId("s"), ArbiterOptions(), pool, 2, start);
@@ -231,17 +231,17 @@
     REQUIRE(shard.sentActions() == "+running -draft:3");
     REQUIRE(std::get<Refusal>(shard.last[1].message).retryAfter == 60s);
     REQUIRE(shard.arbiter.status().running == 1);
-    shard.arbiter.applyPreset(shard.now, threeTiers()); // version 1 comes late
+    shard.arbiter.applyPreset(shard.now, threeTiers()); // version 1 arrives late
     shard.release("running");
     REQUIRE(shard.sentActions() == "+tagging");
     shard.wait(10s);
     REQUIRE(shard.sentActions() == "-query:0");
 }
 
-TEST_CASE("a dead host's tickets go and its work holds its place for a bounded time")
+TEST_CASE("a dead host's tickets are dropped and its work keeps its slot for a bounded time")
 {
-    // Another caller's stream slows down: a host dies, its place is granted at once, but the endpoint goes on with
-    // the stream that nobody reads. Without the hold the endpoint runs both; without the bound the place is lost.
+    // Guards against an overloaded endpoint: when a host dies, the endpoint continues the stream that nobody reads. Without
+    // the hold its slot is granted at once and the endpoint runs both; without the bound the slot is lost.
     Shard shard(threeTiers());
     shard.ticket(ticketOf("dead-running", "draft", "c", "dead"));
     shard.ticket(ticketOf("dead-waiting", "draft", "c", "dead"));
@@ -266,7 +266,7 @@
         shard.wait(25s);
         REQUIRE(shard.sentActions().empty());
     }
-    SECTION("it comes back after its place was taken")
+    SECTION("it returns after its slot was reclaimed")
     {
         shard.wait(20s);
         shard.arbiter.held(shard.now, HeldPermit{ticketOf("dead-running", "draft", "c", "dead"), EndpointId("engine-0"), 4});
@@ -274,7 +274,7 @@
     }
 }
 
-TEST_CASE("a permit without any news is given up")
+TEST_CASE("a permit without any update is reclaimed")
 {
     Shard shard(threeTiers());
     shard.ticket(ticketOf("a", "draft"));
@@ -288,7 +288,7 @@
     REQUIRE(shard.pool.totalUsed() == 0);
 }
 
-TEST_CASE("a ticket whose deadline passes is told so at the deadline")
+TEST_CASE("a ticket whose deadline passes is refused at the deadline")
 {
     Shard shard(threeTiers());
     shard.ticket(ticketOf("running", "draft"));
@@ -301,10 +301,10 @@
     REQUIRE(shard.sentActions() == "-a:0");
 }
 
-TEST_CASE("a request that cannot be served in time is told at once, with the time after which it could")
+TEST_CASE("a request that cannot be served in time is refused at once, with the time after which it could be")
 {
-    // The caller of a late answer has waited its whole deadline for nothing. Ten drafts of 4 s each hold the one
-    // place, so the eleventh, with 20 s to go, cannot be reached. Without the early refusal it is told after 20 s.
+    // Guards against a caller that waits for its whole deadline in vain. Ten drafts of 4 s each are ahead on the one slot, so
+    // a further one with a deadline of 20 s cannot be served. Without the early refusal it is refused after 20 s.
     Shard shard(threeTiers(), 1);
     for (int i = 0; i < 8; ++i) {
         shard.ticket(ticketOf("earlier-" + std::to_string(i), "draft"));
@@ -318,10 +318,10 @@
     }
     shard.sentActions();
     const auto [classId, deadline, expected] = GENERATE(table<std::string, Duration, std::string>({
-        {"draft", 20s, "-a:1"}, // 11 grants of 4 s each before its own time
+        {"draft", 20s, "-a:1"}, // 11 grants of 4 s each are ahead of it
         {"draft", 40s, ""},
-        {"query", 5s, ""}, // nothing goes before it
-        {"tagging", 20s, ""}, // within its class's reserve: its share may reach it
+        {"query", 5s, ""}, // nothing is ahead of it
+        {"tagging", 20s, ""}, // within its class's reserve: its share may serve it
     }));
     Ticket ticket = ticketOf("a", classId);
     ticket.deadlineIn = deadline;
@@ -332,7 +332,7 @@
     }
 }
 
-TEST_CASE("hopeless is found while waiting too, when higher requests come in")
+TEST_CASE("a waiting ticket is refused as hopeless when higher requests make its deadline unreachable")
 {
     Shard shard(threeTiers(), 1);
     for (int i = 0; i < 8; ++i) {
@@ -350,10 +350,10 @@
         shard.ticket(query);
     }
     shard.wait(250ms);
-    REQUIRE(shard.sentActions() == "-draft-1:1"); // four stay in the reserve
+    REQUIRE(shard.sentActions() == "-draft-1:1"); // the other four are within the reserve
 }
 
-TEST_CASE("without an endpoint tickets wait for the grace only")
+TEST_CASE("without an endpoint tickets are refused after the grace period")
 {
     Shard shard(threeTiers());
     shard.pool.takers = false;
@@ -368,7 +368,7 @@
     REQUIRE(shard.sentActions() == "+c");
 }
 
-TEST_CASE("over the budget the lowest tier goes first, from the customer with the most", "[tier-order]")
+TEST_CASE("over the budget the lowest tier is shed first, from the customer with the most waiting", "[tier-order]")
 {
     ArbiterOptions options;
     options.queueBudget = 3;
@@ -381,7 +381,7 @@
     shard.ticket(ticketOf("t4", "tagging", "large"));
     REQUIRE(shard.sentActions() == "+running"); // one in the reserve, three in the budget
     shard.ticket(ticketOf("d1", "draft"));
-    REQUIRE(shard.sentActions().empty()); // in its own reserve
+    REQUIRE(shard.sentActions().empty()); // within its own reserve
     shard.ticket(ticketOf("d2", "draft"));
     REQUIRE(shard.sentActions() == "-t4:2");
     shard.ticket(ticketOf("q1", "query"));
@@ -389,7 +389,7 @@
     shard.ticket(ticketOf("q3", "query"));
     REQUIRE(shard.sentActions() == "-t2:2 -t3:2");
     shard.ticket(ticketOf("t5", "tagging"));
-    REQUIRE(shard.sentActions() == "-t5:2"); // in favour of the one that came first
+    REQUIRE(shard.sentActions() == "-t5:2"); // the newest is shed
     shard.ticket(ticketOf("q4", "query"));
     REQUIRE(shard.sentActions() == "-d2:2");
     shard.ticket(ticketOf("q5", "query"));
@@ -397,7 +397,7 @@
     REQUIRE(shard.arbiter.status().shedByTier == std::map<Tier, std::uint64_t>{{Tier{0}, 1}, {Tier{1}, 1}, {Tier{2}, 4}});
 }
 
-TEST_CASE("a class over its own limit loses its own")
+TEST_CASE("a class over its own limit sheds its own tickets")
 {
     std::shared_ptr<PresetInForce> preset = threeTiers();
     preset->preset.classes[1].queueLimit = 2;
@@ -440,10 +440,10 @@
     REQUIRE(shard.sentActions() == "+q1 +q2");
 }
 
-TEST_CASE("a place freed by preemption never goes to a lower class by its share", "[tier-order]")
+TEST_CASE("a slot freed by preemption is never granted to a lower class by its share", "[tier-order]")
 {
-    // A draft is stopped for a query; the tagging class, below both, is due by its minimum share at that moment.
-    // Without the debt the freed place goes to tagging: a draft was stopped to make room for a lower request.
+    // A draft is stopped for a query while the tagging class, below both, is due by its minimum share. If the arbiter did
+    // not count slots freed by preemption, tagging would get the slot: a draft would be stopped for a lower request.
     std::shared_ptr<PresetInForce> preset = presetOf({classRule("query", 0), classRule("draft", 1), classRule("tagging", 2, 0.5)});
     preset->preset.preemption = true;
     preset->preset.classes[1].preemptible = true;
@@ -466,7 +466,7 @@
     REQUIRE(shard.sentActions() == "+tagging");
 }
 
-TEST_CASE("a due class whose request fits nowhere does not hold up a higher one", "[tier-order]")
+TEST_CASE("a due class whose request fits no endpoint does not delay a higher request", "[tier-order]")
 {
     Shard shard(presetOf({classRule("query", 0), classRule("tagging", 1, 0.5)}));
     shard.pool.largestPrompt = 1000;
@@ -501,7 +501,7 @@
     REQUIRE(shard.drain("tagging0") == "draft0 tagging1 query2");
 }
 
-TEST_CASE("a release teaches the pool and the lengths only what was seen")
+TEST_CASE("a release gives the pool a sample only for work that ran under its permit")
 {
     const auto [kind, endpoint, sampled] = GENERATE(table<ReleaseKind, std::string, bool>({
         {ReleaseKind::Completed, "engine-0", true},
--- a/src/arbiter/arbiterhost.h
+++ b/src/arbiter/arbiterhost.h
@@ -1,18 +1,18 @@
 #pragma once
 
-// Permits on one host: the desk of each shard (permitdesk.h) for the relay's requests, and the arbiter
-// (arbiterhostterm.h) of the shards that rendezvous hashing over the live hosts gives to this host.
+// Permits on one host: a permit client (permitclient.h) for each shard, which serves the relay's requests, and an arbiter
+// (arbiterhostterm.h) for each shard that rendezvous hashing over the live hosts assigns to this host.
 //
-// A thin session: it moves events from the relay, the links and one timer into the decisions and carries out what
-// they say. It meets PermitPort. Where owner and entry are this same host, batches pass without a socket.
+// A thin session: it passes events from the relay, the links and one timer to the decision classes and carries out their
+// actions. It meets PermitPort. When owner and entry host are this host, batches are passed without a socket.
 //
-// Use: construct with make_shared, start(), then setPreset(), setEndpoints() and setHosts() whenever they change;
-// linkChanged() when the peer network tells of a link. A request's handler is called exactly once, never from inside
-// request(), and not after cancel(). A cut-off host, which sees no majority of the hosts that were live a short time
-// ago (HostMemory), does not serve as arbiter; its desks grant from their static share.
+// Use: construct with make_shared, call start(), then setPreset(), setEndpoints() and setHosts() whenever they change, and
+// linkChanged() when the peer network reports a link. A request's handler is called exactly once, never from inside
+// request(), and not after cancel(). A host without a majority, counted over the hosts that were live recently
+// (HostMemory), does not serve as arbiter; its clients grant from their static share.
 //
-// Cost: one pass over the shards an event-loop turn in which something happened. Bounds: shards are those of
-// setEndpoints(), each bounded by its desk and arbiter.
+// Cost: one pass over the shards for each event-loop turn in which something happened. Bounds: the shards are those passed
+// to setEndpoints(); each is bounded by its client and arbiter.
 
 #include "arbiter/arbiterhostterm.h"
 #include "arbiter/permitclient.h"
@@ -35,17 +35,17 @@
 struct ArbiterHostOptions
 {
     HostId self;
-    std::uint64_t incarnation = 1; ///< from 1; another number for each process of this host, e.g. random
-    PermitClientOptions desk; ///< shard, self and incarnation are filled in
+    std::uint64_t incarnation = 1; ///< from 1; differs for each process of this host, e.g. random
+    PermitClientOptions desk; ///< options of the permit clients; shard, self and incarnation are filled in
     ArbiterOptions arbiter;
-    Duration answerFlushInterval = 2ms; ///< least time between two answers of a shard to another host
+    Duration answerFlushInterval = 2ms; ///< minimum time between two answers of a shard to other hosts
 };
 
-/** What the permits' messages to and from one host have cost. */
+/** Traffic of the permit messages to and from one host. */
 struct PermitLinkBytes
 {
     std::uint64_t framesSent = 0;
-    std::uint64_t bytesSent = 0; ///< payload, without the wire's 6 bytes a frame
+    std::uint64_t bytesSent = 0; ///< payload, without the wire's 6 bytes per frame
     std::uint64_t framesReceived = 0;
     std::uint64_t bytesReceived = 0;
     std::uint64_t framesRefused = 0; ///< not sent: no address, or the link's queue was full
@@ -56,7 +56,7 @@
 {
     ShardId shard;
     PermitClientStatus desk;
-    std::optional<ArbiterStatus> arbiter; ///< when this host serves the shard
+    std::optional<ArbiterStatus> arbiter; ///< set while this host serves the shard
 };
 
 struct ArbiterHostStatus
@@ -70,11 +70,11 @@
 class ArbiterHost : public std::enable_shared_from_this<ArbiterHost<ClockType, Transport, Pool>>
 {
 public:
-    /** @param transport must outlive the io_context's run  @param makePool makes the pool of a shard for a new term */
+    /** @param transport must outlive the io_context's run  @param makePool creates the pool of a shard for a new term */
     ArbiterHost(boost::asio::io_context &context, Transport &transport, ArbiterHostOptions options, PoolFactory<Pool> makePool);
 
     void start();
-    /** No handler is called any more. */
+    /** No handler is called after this. */
     void stop();
 
     // PermitPort
@@ -85,14 +85,14 @@
     void onPreemption(PreemptionHandler onPreempt);
 
     void setHosts(std::vector<HostId> live);
-    /** The failure domain of each entry host; without one a host's hops cost nothing. */
+    /** Sets the failure domain of each entry host; a host without one has no hop cost. */
     void setDomains(std::map<HostId, FailureDomain> domains);
     void setEndpoints(const ShardId &shard, std::vector<Endpoint> endpoints);
     void setPreset(std::shared_ptr<const PresetInForce> preset);
     void loadReport(const LoadReport &report);
     void linkChanged(const HostId &peer, LinkState state);
 
-    /** Calls use(pool) for the pool of the shard if this host serves it now, e.g. to pass on cache events. */
+    /** Calls use(pool) with the shard's pool if this host serves the shard now, e.g. to forward cache events. */
     template <class Use>
     void withPool(const ShardId &shard, Use use)
     {
@@ -122,7 +122,7 @@
     void assignOwners(TimePoint now);
     void schedulePump();
     void pump();
-    /** Carries out what the shard's decisions say; true if anything was. */
+    /** Carries out the shard's pending actions; true if there were any. */
     bool carryOut(TimePoint now, Shard &shard);
     void carryOut(TimePoint now, Shard &shard, PermitClientAction &action);
     void answer(Shard &shard, const AttemptId &id, const PermitAnswer &answer);
--- a/src/arbiter/arbiterhost_test.cpp
+++ b/src/arbiter/arbiterhost_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Links between the hosts of one test: frames wait until deliver(), a cut host's frames are lost, a frozen one's wait. */
+/** Links between the hosts of one test: deliver() delivers frames, but drops those of a cut host and holds those of a frozen one. */
 class FakeNetwork
 {
 public:
@@ -37,7 +37,7 @@
         HostId m_self;
     };
 
-    /** Delivers what may be; true if anything was. */
+    /** Delivers the frames of hosts that are neither cut nor frozen; true if there were any. */
     bool deliver()
     {
         std::vector<Frame> frames = std::exchange(m_frames, {});
@@ -205,7 +205,7 @@
 
 } // namespace
 
-TEST_CASE("a request is granted by the own or by a remote arbiter")
+TEST_CASE("a request is granted by this host's or by a remote arbiter")
 {
     Cluster cluster;
     cluster.request(cluster.owner, "local");
@@ -223,7 +223,7 @@
     REQUIRE_FALSE(cluster.statusOf(cluster.entry).desk.fallback);
 }
 
-TEST_CASE("a cancelled request is not answered and leaves no place taken")
+TEST_CASE("a cancelled request is not answered and occupies no slot")
 {
     Cluster cluster;
     cluster.requests(cluster.entry, "early", 2);
@@ -248,9 +248,9 @@
 
 TEST_CASE("the arbiter's host dies in a burst", "[tier-order]")
 {
-    // Callers wait in a burst when the host that orders them dies; it takes a while until the others know. Their
-    // requests must go on from the entry host's own share, supervisors first, and then under the next arbiter, which
-    // must count what already runs: it would fill the engines twice if the held permits were not told again.
+    // Guards against a stall, and against engines that are filled twice. The arbiter's host dies in a burst, and the others
+    // detect it later. The entry host must grant from its own share, higher tiers first; the next arbiter must then count
+    // the running work, which it knows only from the held permits that are sent again.
     Cluster cluster;
     cluster.requests(cluster.entry, "tag", 20, "tagging");
     cluster.requests(cluster.entry, "query", 20);
@@ -290,11 +290,11 @@
     REQUIRE(cluster.granted("").size() == 40);
 }
 
-TEST_CASE("a frozen arbiter wakes and its late grants are given back", "[at-most-once]")
+TEST_CASE("late grants of a frozen arbiter that resumes are returned", "[at-most-once]")
 {
-    // The caller's request was granted by the next arbiter while the former one stood still. Then the former wakes, and
-    // the grants it had written before arrive for the same requests. Used, they would run a request twice or above the
-    // limit; dropped silently, they would keep places at an arbiter that may own the shard again.
+    // Guards against double runs and lost slots. The next arbiter has granted the requests while the former one was frozen;
+    // when that one resumes, its old grants arrive for the same requests. If they were used, a request would run twice or
+    // above the limit; if they were dropped, the former arbiter, which may own the shard again, would keep their slots.
     Cluster cluster;
     cluster.requests(cluster.owner, "own", 4);
     cluster.run(500ms);
@@ -313,7 +313,7 @@
     cluster.network.wake(cluster.owner);
     cluster.run(100ms);
     REQUIRE(cluster.granted("r").size() == 8);
-    // The four, and the last two: with the places back, the former grants what it still believes to wait.
+    // The four, and the last two: with the returned slots, the former arbiter grants the tickets that it still has queued.
     REQUIRE(cluster.statusOf(cluster.entry).desk.grantsReturned == 6);
     REQUIRE(cluster.statusOf(cluster.owner).arbiter->running <= 8);
 
@@ -325,11 +325,11 @@
     REQUIRE(cluster.statusOf(cluster.owner).arbiter->queued == 2);
 }
 
-TEST_CASE("a host that is cut off keeps to its share, and its permits are told when it is back", "[tier-order]")
+TEST_CASE("a host that is cut off grants only its share, and reports its permits after it is reconnected", "[tier-order]")
 {
-    // Callers of the cut-off host are still served, supervisors before tagging. The host believes it is alone; as its
-    // own arbiter it would take all eight slots, which the others go on using. Back again, the arbiter must learn what
-    // was taken meanwhile, or it would hand out those places a second time.
+    // Guards against engines that are filled twice. The cut-off host still serves its callers, higher tiers first, but sees
+    // itself as the only host: as its own arbiter it would use all eight slots, which the others still use. After it is
+    // reconnected, the arbiter must be sent the permits granted meanwhile, or it would grant those slots a second time.
     Cluster cluster;
     cluster.network.cut(cluster.entry);
     cluster.announce({cluster.entry}, {cluster.entry});
@@ -350,10 +350,10 @@
     REQUIRE(cluster.statusOf(cluster.owner).arbiter->running == 8);
 }
 
-TEST_CASE("a planned change of owner takes no fallback and loses no place in the queue")
+TEST_CASE("a planned change of owner causes no fallback and keeps the waiting times in the queue")
 {
-    // The owner leaves or a better one joins. The callers' wait so far counts at the next arbiter; their requests are
-    // neither refused nor granted from the share in between.
+    // The owner leaves, or a host that ranks higher joins. The time already waited counts at the next arbiter; meanwhile
+    // requests are neither refused nor granted from the static share.
     Cluster cluster;
     cluster.requests(cluster.entry, "r", 12);
     cluster.run(400ms);
@@ -368,7 +368,7 @@
     REQUIRE(cluster.statusOf(cluster.entry).desk.fallbacks == 0);
 }
 
-TEST_CASE("in local mode nothing is asked of an arbiter, and a switch back tells what runs")
+TEST_CASE("in local mode no arbiter is used, and after a switch back the arbiter is sent the held permits")
 {
     Cluster cluster;
     for (const HostId &host : cluster.live) {
@@ -386,10 +386,10 @@
     REQUIRE(cluster.statusOf(cluster.owner).arbiter->queued == 2);
 }
 
-TEST_CASE("a lost frame in either direction is found and made good")
+TEST_CASE("a lost frame in either direction is detected and its content sent again")
 {
-    // The caller waits for an answer that was lost on a link that broke without notice. The numbers show the gap at the
-    // next keep-alive; without them the ticket would wait for its whole deadline.
+    // A link breaks without notice and loses a ticket or an answer. The sequence numbers reveal the gap at the next
+    // keep-alive; without them the ticket would wait for its whole deadline.
     Cluster cluster;
     cluster.request(cluster.entry, "first");
     cluster.run(500ms);
--- a/src/arbiter/arbiterhostimpl.h
+++ b/src/arbiter/arbiterhostimpl.h
@@ -1,8 +1,8 @@
 #pragma once
 
-// Bodies of ArbiterHost (arbiterhost.h). Every event changes a decision and schedules one pump for the end of the
-// event-loop turn; the pump ticks each shard and carries out its actions until none is left. So all requests of a turn
-// share a batch, and handlers run where no decision is half changed.
+// Implementation of ArbiterHost (arbiterhost.h). Every event updates a decision class and schedules one pump for the end of
+// the event-loop turn; the pump ticks each shard and carries out its actions until none remain. So all requests of a turn
+// share a batch, and handlers never run while a decision is in progress.
 
 #include "base/rendezvous.h"
 
@@ -14,9 +14,9 @@
 namespace Rhubarbwind
 {
 
-/** Rounds of a pump: desk to own arbiter and back take two; more wait for the next turn of the loop. */
+/** Maximum rounds of a pump: client to own arbiter and back takes two; further ones wait for the next event-loop turn. */
 inline constexpr int permitPumpRounds = 4;
-/** How often a host without a majority looks whether its memory of the others has ended. */
+/** How often a host without a majority checks whether hostMemorySpan has ended. */
 inline constexpr Duration permitMajorityCheck = 1s;
 
 template <Clock ClockType, PeerTransport Transport, EndpointChooser Pool>
@@ -244,8 +244,8 @@
 template <Clock ClockType, PeerTransport Transport, EndpointChooser Pool>
 void ArbiterHost<ClockType, Transport, Pool>::assignOwners(TimePoint now)
 {
-    // Cut off from most others, this host would name itself or a neighbour on its side, while the other side goes on
-    // with its own arbiter: the endpoints would be filled twice. Its static share is its own on either side.
+    // Cut off from the majority, this host would assign an arbiter on its own side of the partition while the other side keeps
+    // another: the endpoints would be filled twice. The static shares of both sides do not overlap.
     m_sawMajority = m_hosts.seesMajority(now);
     for (auto &[id, shard] : m_shards) {
         const HostId owner = m_sawMajority ? rendezvousOwner(m_hosts.live(), "arbiter/" + id.text()) : HostId();
@@ -331,7 +331,7 @@
 template <Clock ClockType, PeerTransport Transport, EndpointChooser Pool>
 void ArbiterHost<ClockType, Transport, Pool>::answer(Shard &shard, const AttemptId &id, const PermitAnswer &answer)
 {
-    // Without a handler the request was cancelled in this very turn; the desk gives the grant back.
+    // Without a handler the request was cancelled in this event-loop turn; the client returns the grant.
     if (typename std::map<AttemptId, PermitHandler>::node_type handler = shard.handlers.extract(id)) {
         handler.mapped()(answer);
     }
@@ -362,7 +362,7 @@
 {
     PermitLinkBytes &link = m_links[to];
     const std::size_t size = payload.size();
-    // A frame that is not sent is a gap in the numbers, which the other end finds.
+    // A frame that is not sent leaves a gap in the sequence numbers, which the other end detects.
     if (m_transport.send(to, kind, std::move(payload))) {
         ++link.framesSent;
         link.bytesSent += size;
@@ -383,8 +383,8 @@
         return;
     }
     const auto found = m_shards.find(requests.value().shard);
-    // By this host's view of membership another one serves the shard. The sender hears nothing and tells everything
-    // again once both views agree; serving it now would make a second arbiter.
+    // In this host's view of membership another host serves the shard. The sender gets no answer and re-sends everything once
+    // both views agree; serving it now would start a second arbiter.
     if (found == m_shards.end() || !serves(found->second)) {
         return;
     }
--- a/src/arbiter/arbiterhostterm.h
+++ b/src/arbiter/arbiterhostterm.h
@@ -1,17 +1,17 @@
 #pragma once
 
-// The arbiter's end of one shard on one host, without I/O: takes desks' batches, hands them to Arbiter, batches answers.
+// The arbiter's side of one shard on one host, without I/O: passes the clients' batches to Arbiter and batches its answers.
 //
-// The first batch begins a term. Its epoch is above every epoch that any desk has seen; a desk that shows a greater
-// one, or the same one from another host, makes this host begin a new term. So two hosts that both believe they serve
-// the shard never grant under one epoch to the same desk, and the desk tells the grants of the former by their smaller
-// epoch. The cost of two arbiters at once is that an endpoint may be given more work than its limit until membership
-// agrees; no request runs twice, since a desk uses one grant an attempt.
+// The first batch begins a term. Its epoch is greater than every epoch that any client has reported. A client that reports
+// a greater epoch, or the same one from another host, makes this host begin a new term. So two hosts that both believe that
+// they serve the shard never send grants of one epoch to the same client, and the client recognises the former one's grants
+// by their smaller epoch. While two arbiters serve, an endpoint may get more work than its limit until membership agrees;
+// no request runs twice, since a client uses one grant per attempt.
 //
-// A term begins with a new Arbiter and a new pool: what the former term's grants reserved is told again by the desks
-// that still hold them.
+// A term begins with a new Arbiter and a new pool: the clients that still hold grants of the former term report them again.
 //
-// Use: events with the time, then takeAnswers(); tick() at nextWake(). Bounds: Arbiter's; one small record a desk.
+// Use: pass events with the time, then takeAnswers(); call tick() at nextWake(). Bounds: those of Arbiter, plus one small
+// record per client.
 
 #include "arbiter/arbiter.h"
 #include "arbiter/permitclientpeer.h"
@@ -51,7 +51,7 @@
     {
     }
 
-    /** Without a preset nothing is served: desks find the silence and ask again. */
+    /** Nothing is served without a preset: clients detect the silence and send again. */
     void applyPreset(TimePoint now, std::shared_ptr<const PresetInForce> preset)
     {
         m_preset = std::move(preset);
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Desks of hosts that are not live any more are forgotten; what they run keeps its place for a while. */
+    /** Removes the clients of hosts that are no longer live; their running work keeps its slots for ArbiterOptions::orphanHold. */
     void setHosts(TimePoint now, std::span<const HostId> live)
     {
         std::vector<HostId> removed;
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Where the entry hosts are, for the hop cost of each choice. */
+    /** Sets the failure domains of the entry hosts, for the hop cost of each choice. */
     void setDomains(const std::map<HostId, FailureDomain> &domains)
     {
         m_domains = domains;
@@ -93,7 +93,7 @@
         }
     }
 
-    /** Ownership moved to another host: the arbiter goes, its desks tell everything to the next one. */
+    /** Ownership moved to another host: drops the arbiter; its clients send their whole state to the next one. */
     void drop()
     {
         m_arbiter.reset();
@@ -122,7 +122,7 @@
         }
         if (arrival == PermitClientPeer::Arrival::ApplyAfterReset) {
             m_arbiter->hostRemoved(now, batch.sender);
-            applyDomains(); // a host that is gone is forgotten with its domain
+            applyDomains(); // hostRemoved() also removed the host's domain
             m_pending.erase(batch.sender);
         }
         apply(now, batch);
@@ -136,7 +136,7 @@
         }
     }
 
-    /** Answers that are due; to this very host without waiting for a batch. */
+    /** Returns the answers that are due; those to this host do not wait for the flush interval. */
     std::vector<PermitAnswersTo> takeAnswers(TimePoint now)
     {
         std::vector<PermitAnswersTo> due;
@@ -166,7 +166,7 @@
         return m_arbiter ? std::optional(m_arbiter->status()) : std::nullopt;
     }
 
-    /** The present term's pool, for news of endpoints; null while no term runs here. */
+    /** The current term's pool, for endpoint updates; null while no term runs here. */
     Pool *pool()
     {
         return m_pool.get();
@@ -194,7 +194,7 @@
 
     void apply(TimePoint now, const PermitRequests &batch)
     {
-        // Places are freed before they are wanted, and what runs is known before anything new is granted.
+        // Slots are freed first, and running work is recorded before anything new is granted.
         for (const AttemptId &id : batch.cancels) {
             m_arbiter->cancel(now, id);
         }
@@ -215,7 +215,7 @@
 
     void applyReturnedGrants(TimePoint now, const PermitRequests &batch)
     {
-        // Only this term's: another one may since hold the attempt rightly.
+        // Only grants of this term: the attempt may by now hold a valid permit of a later one.
         if (!m_arbiter || batch.onlyTerm != m_epoch) {
             return;
         }
@@ -233,12 +233,12 @@
         collect();
     }
 
-    /** Sorts the arbiter's actions by host, in answers of bounded size. */
+    /** Groups the arbiter's actions by host, in answers of bounded size. */
     void collect()
     {
         for (ArbiterAction &action : m_arbiter->takeActions()) {
             if (!m_peers.contains(action.host)) {
-                continue; // gone; if it comes back, it tells its tickets again and is answered anew
+                continue; // removed; a host that returns re-sends its tickets and gets new answers
             }
             std::vector<PermitAnswers> &answers = m_pending[action.host];
             if (answers.empty() || isFull(answers.back())) {
@@ -272,7 +272,7 @@
             answers = std::move(pending.mapped());
         }
         if (answers.empty()) {
-            answers.emplace_back(); // shows that the arbiter is there and what it has heard
+            answers.emplace_back(); // shows that the arbiter is alive and what it has received
         }
         for (PermitAnswers &answer : answers) {
             answer.shard = m_shard;
@@ -294,7 +294,7 @@
     std::shared_ptr<const PresetInForce> m_preset;
     std::vector<Endpoint> m_endpoints;
     Epoch m_epoch = 0;
-    Epoch m_greatestEpoch = 0; ///< own or told by a desk
+    Epoch m_greatestEpoch = 0; ///< own or reported by a client
     std::unique_ptr<Pool> m_pool;
     std::unique_ptr<Arbiter<Pool>> m_arbiter;
     std::map<HostId, PermitClientPeer> m_peers;
--- a/src/arbiter/arbiterimpl.h
+++ b/src/arbiter/arbiterimpl.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Bodies of Arbiter (arbiter.h). Each event changes the queue or the permits and then settles: what has run out
-// ends, free places are granted, what is over budget goes, and only then running work may be stopped.
+// Implementation of Arbiter (arbiter.h). Each event changes the queue or the permits and then calls settle(): expired tickets
+// and permits end, free slots are granted, tickets over budget are shed, and only then running work may be preempted.
 
 #include <algorithm>
 #include <utility>
@@ -37,7 +37,7 @@
     for (const AttemptId &id : m_permits.all()) {
         const Permit &permit = *m_permits.find(id);
         const ClassRule *rule = m_order.rules().findClass(permit.ticket.classId);
-        // The higher of both tiers: no request is stopped for one that was not above it all the time.
+        // The higher of both tiers: a request is stopped only for one that was above it during its whole run.
         const Tier tier = rule ? std::min(rule->tier, permit.tier) : permit.tier;
         m_permits.setRules(id, tier, permit.preemptible && rule && rule->preemptible);
     }
@@ -118,7 +118,7 @@
     m_now = std::max(m_now, now);
     const std::optional<StreamPace> pace = m_permits.renew(m_now, id, tokens, now + m_options.silentPermitLimit);
     if constexpr (ObservesPace<Pool>) {
-        // A straggler's long streams release nothing for minutes; their pace shows it in seconds.
+        // Long streams of a straggler release nothing for minutes; their pace reveals it within seconds.
         if (pace) {
             m_pool.progress(m_now, pace->endpoint, pace->interToken, pace->tokens);
         }
@@ -139,7 +139,7 @@
     if (!known) {
         addHeld(now, held);
     } else if (known->reservation.endpoint != held.endpoint) {
-        // Granted here too, while the host ran it under a former arbiter's grant: what runs counts.
+        // Also granted here, while the host ran it under a former arbiter's grant: the running one counts.
         const Permit unused = *m_permits.take(id);
         finish(now, unused, Release{id, unused.reservation.endpoint, ReleaseKind::Unused});
         addHeld(now, held);
@@ -161,7 +161,7 @@
     const ClassRule *rule = m_order.rules().findClass(held.ticket.classId);
     Permit permit = makePermit(now, held.ticket, rule ? rule->tier : Tier{}, held.endpoint);
     permit.resent = true;
-    permit.preemptible = false; // a minimum share may have granted it
+    permit.preemptible = false; // it may have been granted by a minimum share
     permit.tokens = held.tokensSoFar;
     m_pool.reserve(now, permit.reservation, permit.ticket.prefixDigests);
     m_order.correctCharge(permit.tier, permit.ticket.customer, permit.charge);
@@ -286,12 +286,12 @@
     std::optional<GrantOrder::Pick> pick = m_preemptedSlots > 0 ? m_order.nextInTurn() : m_order.next(now, guard);
     std::optional<EndpointChoice> choice = chooseFor(now, pick->queued->ticket);
     if (!choice && pick->outOfTurn) {
-        // The due class has to wait for a larger place; the request that is next in order must not wait for it too.
+        // The due class's request fits no free slot; the request that is next in order must not wait for it.
         pick = m_order.nextInTurn();
         choice = chooseFor(now, pick->queued->ticket);
     }
     if (!choice) {
-        return false; // a smaller one further back might fit, but it would overtake
+        return false; // a smaller request further back might fit, but would overtake
     }
     Permit permit = makePermit(now, pick->queued->ticket, pick->queued->tier, choice->endpoint);
     permit.preemptible = permit.preemptible && !pick->outOfTurn;
@@ -421,7 +421,7 @@
 void Arbiter<Pool>::refuseIfHopeless(TimePoint now, const AttemptId &id)
 {
     const QueuedTicket *queued = m_order.queue().find(id);
-    // The first check costs nothing and settles all but a long queue.
+    // The first check is cheap and excludes all but long queues.
     if (queued && isHopeless(now, *queued, m_order.queue().size()) && isHopeless(now, *queued, m_order.grantsUntil(*queued))) {
         ++m_counters.hopelessByTier[queued->tier];
         refuse(now, *m_order.take(id), RefusalReason::Hopeless);
@@ -450,8 +450,8 @@
     if (!victim || !urgent || m_pool.freePlaces(now) > 0) {
         return;
     }
-    // One order for each request that waits above the victim, so none when all wait in its tier or below; the freed
-    // places come with the releases.
+    // One preemption per request that waits above the victim's tier, so none when all wait in its tier or below; the slots
+    // become free with the releases.
     if (m_permits.preempted() + m_preemptedSlots < m_order.queue().sizeAbove(victim->tier)) {
         send(victim->ticket.entry, Preemption{victim->ticket.id});
         ++m_counters.preemptions;
@@ -472,7 +472,7 @@
 Duration Arbiter<Pool>::retryAfter(const QueuedTicket &queued, RefusalReason reason) const
 {
     if (reason == RefusalReason::UnknownClass) {
-        return m_options.maxRetryAfter; // only a new preset can help
+        return m_options.maxRetryAfter; // only a new preset can add the class
     }
     const Tier nextLower{static_cast<std::uint8_t>(std::min(255, queued.tier.level + 1))};
     const std::size_t before = m_order.queue().sizeAbove(nextLower);
--- a/src/arbiter/arbiterproperty_test.cpp
+++ b/src/arbiter/arbiterproperty_test.cpp
@@ -1,5 +1,5 @@
-// The arbiter over arbitrary histories, against an oracle that keeps all tickets in one plain vector and scans it
-// in full to tell who might have been granted, shed or stopped.
+// The arbiter over arbitrary histories, against an oracle that keeps all tickets in one vector and scans it in full to
+// determine which tickets may be granted, shed or preempted.
 
 #include "arbiter/arbiter.h"
 #include "arbiter/arbitertestkit.h"
@@ -17,7 +17,7 @@
 {
 
 constexpr TimePoint start(1h);
-constexpr std::size_t attempts = 160; // few, so that messages meet attempts in every state
+constexpr std::size_t attempts = 160; // few, so that messages reach attempts in every state
 constexpr std::size_t hosts = 3;
 const std::vector<std::string> classNames = {"query", "draft", "tagging", "summary"};
 
@@ -33,7 +33,7 @@
     Slots,
 };
 
-/** One event; attempts, hosts and presets are picked by `pick`. Repeats, losses and reorderings arise by themselves. */
+/** One event; `pick` selects the attempt, host or preset. Random picks produce repeated, missing and reordered messages. */
 struct Event
 {
     Step step = Step::Wait;
@@ -87,16 +87,16 @@
     Ended,
 };
 
-/** What the oracle knows of one attempt. */
+/** The oracle's state of one attempt. */
 struct Known
 {
     Ticket ticket;
     State state = State::Unknown;
     TimePoint deadline;
-    EndpointId endpoint; ///< while running, as the rest below
+    EndpointId endpoint; ///< this and the fields below: while running
     Tier tier; ///< the highest since the grant
-    bool stoppable = false; ///< by its class, and neither granted out of turn nor re-sent
-    bool stopOrdered = false; ///< to stop
+    bool stoppable = false; ///< its class allows it, and it was neither granted out of turn nor re-sent
+    bool stopOrdered = false; ///< a preemption was sent
     bool orphan = false;
     std::size_t ends = 0;
     RefusalReason reason{};
@@ -158,7 +158,7 @@
         check();
     }
 
-    /** Ends what runs until nothing is left, and checks that each ticket had one end. */
+    /** Releases running attempts until none remain, and checks that each ticket ended once. */
     void drain()
     {
         for (std::size_t rounds = 0; rounds <= attempts; ++rounds) {
@@ -180,13 +180,13 @@
         ArbiterOptions options;
         options.queueBudget = 8;
         options.reservedTickets = 2;
-        options.endedMemory = 10h; // the oracle neither forgets nor gives up
+        options.endedMemory = 10h; // the oracle does not model expiry
         options.silentPermitLimit = 10h;
         options.orphanHold = 10h;
         return options;
     }
 
-    /** One that runs, but for one time in four. */
+    /** A running attempt in three of four cases, otherwise any. */
     Known &mostlyRunning(std::uint32_t pick)
     {
         Known &any = m_known[pick % attempts];
@@ -328,10 +328,10 @@
     void checkMessage(Known &known, const Preemption &)
     {
         if (std::exchange(m_resent, nullptr) == &known) {
-            return; // its host may not have heard the first one
+            return; // its host may not have received the first one
         }
         RC_ASSERT((isPreemptible(known) && m_preset->preset.preemption));
-        // Never more orders than requests that could use the places.
+        // Never more preemptions than requests that could use the slots.
         const auto isAbove = [&](const Known &other) { return other.state == State::Waiting && ruleOf(other).tier.isHigherThan(known.tier); };
         const auto isStopping = [](const Known &other) { return other.state == State::Running && other.stopOrdered; };
         RC_ASSERT(std::ranges::count_if(m_known, isStopping) < std::ranges::count_if(m_known, isAbove));
@@ -385,16 +385,16 @@
     CountedEndpoints m_pool;
     TestArbiter m_arbiter;
     bool m_lastOvertook = false;
-    bool m_preemptedSlots = false; ///< a place freed by preemption has not been granted again
-    const Known *m_resent = nullptr; ///< told to stop before, and now re-sent
+    bool m_preemptedSlots = false; ///< a slot freed by preemption has not been granted again
+    const Known *m_resent = nullptr; ///< was preempted before and is now re-sent
 };
 
 } // namespace
 
 TEST_CASE("no history makes the arbiter pass over a higher request, break a budget or end a ticket twice", "[tier-order]")
 {
-    // The caller of a higher request must not be refused or cut off while a lower one could go instead, whatever
-    // arrives, repeats, gets lost, dies or is switched in between. Each action is checked by a full scan.
+    // A higher request must not be refused or stopped while a lower one could be, whatever messages arrive, repeat or are
+    // lost, hosts die or presets are switched. Each action is checked by a full scan.
     rc::prop("every action is right by a full scan of all tickets", [] {
         const std::vector<Event> history = *anyHistory();
         Oracle oracle(*rc::gen::inRange<std::uint32_t>(0, 3));
@@ -408,7 +408,7 @@
 namespace
 {
 
-/** A shard flooded by higher requests; the lower classes come and go. */
+/** A shard flooded by higher requests, with lower classes whose tickets come and go. */
 class Flood
 {
 public:
@@ -430,13 +430,13 @@
         refill();
     }
 
-    /** Lets one running attempt end and tells which class was granted: 0 for the high one. */
+    /** Ends one running attempt and returns the class that was granted: 0 for the high one. */
     std::size_t step(std::size_t finished, bool lowLeaves)
     {
         refill();
         m_now += 10ms;
         if (lowLeaves && std::ranges::count(m_running, m_lastLow) == 0) {
-            // A lower request is cancelled and another one comes: the class's claim must not start afresh.
+            // A lower request is cancelled and replaced by another one: the class's credit must not start again.
             m_arbiter.cancel(m_now, attempt(m_lastLow));
         }
         const std::string ended = m_running[finished % m_running.size()];
@@ -445,7 +445,7 @@
         return takeGrant();
     }
 
-    /** Grants of the shard since the class last had one, while it had a ticket waiting. */
+    /** Grants of the shard since the class's last one, while it had a waiting ticket. */
     std::size_t grantsWaited(std::size_t low) const
     {
         return m_grantsWaited[low];
@@ -541,9 +541,9 @@
 
 TEST_CASE("under a permanent flood of higher requests every class is granted within its bound", "[no-starvation]")
 {
-    // Cue-sheet tags wait while supervisors' queries never stop coming, fill the queue budget and are all about to
-    // reach their deadlines. Without reserved places every tag is shed before its turn; without the minimum share
-    // its turn never comes; with endless deferrals the queries near their deadlines keep it away.
+    // Guards against starvation: higher requests never stop, fill the queue budget and are all about to reach their
+    // deadlines. Without reserved tickets every lower request is shed before it is served; without the minimum share it is
+    // never served; with unlimited deferrals the requests near their deadlines always go first.
     rc::prop("each wait, in grants of the shard, is within the stated bound", [] {
         Flood flood(anyShares(), *rc::gen::inRange<std::size_t>(1, 4), *rc::gen::inRange<std::size_t>(1, 30));
         const std::size_t classes = flood.classes();
@@ -558,8 +558,8 @@
 
 TEST_CASE("minimum shares delay a higher request by no more than the stated bound", "[tier-order]")
 {
-    // A query waits behind n others; without a bound on grants out of turn the lower classes' shares could push it
-    // past its deadline.
+    // A query waits behind n others; without a bound on grants out of turn the lower classes' shares could delay it past its
+    // deadline.
     rc::prop("of the grants in any window, no more than the shares plus two a class are out of turn", [] {
         const std::vector<double> shares = anyShares();
         Flood flood(shares, 2, 10);
--- a/src/arbiter/capacity_test.cpp
+++ b/src/arbiter/capacity_test.cpp
@@ -1,4 +1,4 @@
-// Figures for docs/CAPACITY.md: what permits cost on the links, in processor time and in memory, by the work held.
+// Figures for docs/CAPACITY.md: what permits cost on the links, in processor time and in memory, by the amount of work.
 
 #include "arbiter/arbiterhost.h"
 #include "arbiter/arbiterhostfakes.h"
@@ -24,7 +24,7 @@
     return static_cast<double>(std::clock()) / static_cast<double>(CLOCKS_PER_SEC);
 }
 
-// The letter's peak: 423 tokens an answer; at 40 ms a token a request runs for 17 s and tells of progress every 16 tokens.
+// The peak load: 423 tokens per answer; at 40 ms per token a request runs for 17 s and reports progress every 16 tokens.
 constexpr Duration requestDuration = 17s;
 constexpr Duration progressGap = 640ms;
 constexpr std::uint32_t progressTokens = 16;
@@ -79,11 +79,11 @@
     std::size_t requestBytes = 0;
     std::size_t answerFrames = 0;
     std::size_t answerBytes = 0;
-    double clientProcessor = 0; ///< with encoding and decoding
+    double clientProcessor = 0; ///< including encoding and decoding
     double arbiterProcessor = 0;
 };
 
-/** One desk and the real arbiter of its shard over virtual time, every message encoded and decoded. */
+/** One client and the real arbiter of its shard in virtual time; every message is encoded and decoded. */
 class PairRun
 {
 public:
@@ -217,7 +217,7 @@
     std::vector<Running> m_running;
 };
 
-/** A transport that drops what is sent and takes frames by hand. */
+/** A transport that drops sent frames; the test passes received frames to its handlers. */
 struct DroppingPort
 {
     std::map<MessageKind, FrameHandler> handlers;
@@ -251,7 +251,7 @@
     return (processorSeconds() - start) * 1e6 / passes;
 }
 
-/** Makes the host an arbiter with a desk at every other host, for the first shard that it owns; false if it owns none. */
+/** Connects a client of every other host to the arbiter of the first shard that the host owns; false if it owns none. */
 bool connectClients(DroppingPort &port, boost::asio::io_context &context, const std::vector<HostId> &hosts, std::size_t shards)
 {
     for (std::size_t i = 0; i < shards; ++i) {
@@ -276,12 +276,12 @@
 
 } // namespace
 
-TEST_CASE("one desk and its arbiter: frames, bytes and processor time by requests a second", "[.measure][capacity]")
+TEST_CASE("one client and its arbiter: frames, bytes and processor time by requests a second", "[.measure][capacity]")
 {
-    // 13,000 requests a second over 370 hosts and 90 shards are 0.39 a second for a desk; the others show the slope.
+    // 13,000 requests per second over 370 hosts and 90 shards are 0.39 per second for a client; the other rates show the slope.
     for (const double rate : {0.06, 0.39, 1.56, 6.25}) {
         PairRun run(rate);
-        run.run(40s); // until as many end as begin
+        run.run(40s); // until as many requests end as begin
         run.totals = {};
         const double seconds = 60;
         run.run(fromSeconds(seconds));
@@ -345,7 +345,7 @@
     for (std::size_t i = 0; i < 370; ++i) {
         hosts.emplace_back("host-" + std::to_string(1000 + i));
     }
-    // With 90 shards some host owns several and some none; the measured one must own at least one.
+    // With 90 shards some hosts own several and some none; the measured host must own at least one.
     while (rendezvousOwner(hosts, "arbiter/model-0") != hosts.front()) {
         std::rotate(hosts.begin(), hosts.begin() + 1, hosts.end());
     }
--- a/src/arbiter/grantorder.cpp
+++ b/src/arbiter/grantorder.cpp
@@ -1,6 +1,6 @@
-// Strict tiers with a filled-by-grants minimum share were preferred over one weighted queue of all classes: a
-// weight high enough to keep a top tier's target in a burst starves the others as surely as strict tiers do, and
-// gives no bound that an operator could state.
+// Strict tiers with a minimum share that is filled by grants are used instead of one weighted queue of all classes: a weight
+// high enough to meet a top tier's target in a burst starves the other classes as strict tiers do, and gives no bound that
+// an operator could state.
 
 #include "arbiter/grantorder.h"
 
@@ -14,7 +14,7 @@
 namespace
 {
 
-// Durations come from other hosts; an absurd one must not overflow a time point.
+// Durations come from other hosts; an extreme value must not overflow a time point.
 constexpr Duration longestWait = 24h;
 
 bool isNewer(const QueuedTicket &left, const QueuedTicket &right)
--- a/src/arbiter/localshare.cpp
+++ b/src/arbiter/localshare.cpp
@@ -1,6 +1,6 @@
-// Shares are the largest-remainder split of the slots with rendezvous ranks for the remainders, so that hosts which
-// agree on the list agree on the split without a message. Progress is by credits (deficit round robin of Shreedhar
-// and Varghese, 1995, with a quantum of the class's share a grant) over a strict tier order.
+// The shares split the slots by largest remainder, with rendezvous ranks for the remainders, so that hosts that agree on the
+// host list agree on the split without a message. Progress uses credits (deficit round robin of Shreedhar and Varghese, 1995,
+// with the class's share as quantum per grant) over a strict tier order.
 
 #include "arbiter/localshare.h"
 
@@ -15,9 +15,9 @@
 namespace
 {
 
-/** An unused class keeps no more than this credit, so that it cannot save up a burst. */
+/** Limit of a class's credit, so that an unused class cannot save up a burst. */
 constexpr double maxCredit = 1.0;
-/** Rounding of the credits' sum must not cost a grant. */
+/** Tolerance for rounding: without it the sum of credits can miss a grant. */
 constexpr double wholeCredit = 1.0 - 1e-9;
 
 std::string shareKey(const EndpointId &endpoint)
@@ -234,7 +234,7 @@
 Tier LocalShare::tierOf(const ClassId &classId) const
 {
     const ClassRule *rule = m_preset == nullptr ? nullptr : m_preset->preset.findClass(classId);
-    // A class that the preset does not know goes last: it is about to be refused.
+    // A class that the preset does not list goes last: it is about to be refused.
     return rule == nullptr ? Tier{std::numeric_limits<std::uint8_t>::max()} : rule->tier;
 }
 
--- a/src/arbiter/localshare.h
+++ b/src/arbiter/localshare.h
@@ -1,25 +1,25 @@
 #pragma once
 
-// What one host may grant by itself: its static share of each endpoint, or a guess from lagged load reports.
+// What one host may grant by itself: its static share of each endpoint, or an estimate from lagged load reports.
 //
-// Used in two ways, with the same order of tickets:
+// Two modes, with the same order of tickets:
 //
-// - StaticShare, the fallback while no arbiter answers. Each endpoint's slots are split over the hosts: every host
-//   gets slots / hosts, and the remainder goes to the hosts that rank first for the endpoint by rendezvous hashing,
-//   so that all shares together are exactly the slots. A host whose shares of a shard add up to nothing gets one
-//   place at the endpoint it ranks best for, so that its callers are served at all; the shares then exceed the slots
-//   by at most the number of such hosts. The hosts counted are HostMemory's, not only the live ones.
-// - LoadReports, the baseline ArbitrationMode::Local: an endpoint takes work while its last report plus what this
-//   host sent there since is under its slots. Every host does so at once, which is what the baseline shows.
+// - StaticShare, the fallback while no arbiter answers. The slots of each endpoint are split over the hosts: every host gets
+//   slots / hosts, and the remainder goes to the hosts that rank first for the endpoint by rendezvous hashing, so that all
+//   shares together are exactly the slots. A host whose shares of a shard add up to zero gets one slot at the endpoint for
+//   which it ranks best, so that its callers are served at all; the shares then exceed the slots by at most the number of
+//   such hosts. The hosts counted are those of HostMemory, not only the live ones.
+// - LoadReports, the baseline ArbitrationMode::Local: an endpoint takes work while its last report plus the work that this
+//   host has sent there since is below its slots. Since every host does the same at once, the endpoints may be overfilled.
 //
-// Order: the highest tier first, within a tier by arrival. Each grant also credits every class that waits with its
-// minimum share of the preset, and a class with a whole credit goes next, so a class of share s runs at the latest
-// every 1/s grants; a higher ticket waits for at most the sum of the lower classes' shares of grants. Over the queue
-// budget the newest ticket of the lowest waiting tier is shed, never a higher one.
+// Order: the highest tier first, within a tier by arrival. Each grant also credits every waiting class with its minimum
+// share of the preset, and a class with a whole credit is served next. So a class of share s runs at least every 1/s grants,
+// and a higher ticket waits for at most the sum of the lower classes' shares of the grants. Over the queue budget the newest
+// ticket of the lowest waiting tier is shed, never a higher one.
 //
-// Cost: logarithmic in the tickets a change; a grant costs one pass over classes and endpoints. Bounds: tickets are
-// bounded by the desk that adds them; classes by the preset's limit.
-// Limits: no fairness between customers, no prefix affinity, no speeds: it stands in, it does not replace.
+// Cost: logarithmic in the tickets per change; a grant takes one pass over classes and endpoints. Bounds: tickets are bounded
+// by the permit client that adds them; classes by the preset's limit.
+// Limits: no fairness between customers, no prefix affinity, no endpoint speeds. It does not replace an arbiter.
 
 #include "arbiter/permit.h"
 #include "preset/preset.h"
@@ -41,15 +41,15 @@
     LoadReports,
 };
 
-/** How long the largest host list counts after it was last true. */
+/** How long the largest host list counts after the last time it was the live list. */
 inline constexpr Duration hostMemorySpan = 60s;
 
 /**
- * The live hosts and the most that were live within the last `hostMemorySpan`.
+ * The live hosts, and the largest set of hosts that was live within the last `hostMemorySpan`.
  *
- * A host that is cut off from the others believes that it is alone. Judged by the live list only, it would take the
- * whole capacity and serve every shard while the others do the same. The price of the memory: after a true loss of
- * half the hosts at once, the survivors use no more than their old shares for this span.
+ * A host that is cut off from the others sees only itself. By the live list alone it would use the whole capacity and
+ * serve every shard while the other hosts do the same. The cost: after a real loss of half the hosts at once, the
+ * remaining ones use no more than their former shares for this span.
  */
 class HostMemory
 {
@@ -61,7 +61,7 @@
     }
     /** The largest list within the span. */
     std::span<const HostId> largest(TimePoint now) const;
-    /** More than half of `largest` are live as seen from here. */
+    /** Whether this host sees more than half of largest() as live. */
     bool seesMajority(TimePoint now) const;
 
 private:
@@ -75,7 +75,7 @@
     HostId self;
 };
 
-/** A place found for a ticket. */
+/** A ticket and the endpoint that it was granted. */
 struct LocalGrant
 {
     AttemptId id;
@@ -92,29 +92,29 @@
     void setHosts(TimePoint now, std::span<const HostId> hosts);
     void loadReport(TimePoint now, const LoadReport &report);
 
-    /** A ticket waits; `since` is its arrival at the entry host. */
+    /** Adds a waiting ticket. @param since its arrival at the entry host */
     void add(const AttemptId &id, const ClassId &classId, TimePoint since, std::vector<EndpointId> avoid);
-    /** It waits no more, for whatever reason. Unknown ids are ignored. */
+    /** Removes a ticket that no longer waits. Unknown ids are ignored. */
     void remove(const AttemptId &id);
 
-    /** An attempt of this host runs at the endpoint, whoever granted it. */
+    /** An attempt of this host runs at the endpoint, whether granted here or by an arbiter. */
     void occupy(TimePoint now, const AttemptId &id, const EndpointId &endpoint);
     void vacate(const AttemptId &id);
 
-    /** The next ticket and its place, or none. The ticket is removed and its place occupied. */
+    /** Grants the next ticket if a slot is free: removes the ticket and occupies the slot. */
     std::optional<LocalGrant> grantNext(TimePoint now, LocalShareMode mode);
-    /** The ticket that must go first when one has to: newest of the lowest waiting tier. */
+    /** The ticket to shed first: the newest of the lowest waiting tier. */
     std::optional<AttemptId> shedCandidate() const;
-    /** Most tickets this host keeps while alone: its part of the classes' queue limits; at least one. */
+    /** Maximum waiting tickets without an arbiter: this host's part of the classes' queue limits; at least one. */
     std::size_t queueBudget(TimePoint now) const;
 
-    /** This host's places at an endpoint, occupied ones included. */
+    /** This host's slots at an endpoint, including occupied ones. */
     std::uint32_t share(TimePoint now, const EndpointId &endpoint);
     std::size_t waiting() const
     {
         return m_tickets.size();
     }
-    /** The endpoints were told and none of them takes work. */
+    /** The endpoints are known and none of them takes work. */
     bool hasNoUsableEndpoint() const;
     /** The preset is known and has no such class. */
     bool isUnknownClass(const ClassId &classId) const;
@@ -150,7 +150,7 @@
     bool isFifo() const;
     void creditWaitingClasses();
     std::optional<EndpointId> findSlot(TimePoint now, LocalShareMode mode, const std::vector<EndpointId> &avoid);
-    /** Occupied part of the places, or none when there is no free one. */
+    /** Occupied part of the slots, or none when no slot is free. */
     std::optional<double> loadOf(TimePoint now, LocalShareMode mode, const Endpoint &endpoint);
     std::size_t runningAt(const EndpointId &endpoint) const;
     std::size_t startedSince(const EndpointId &endpoint, TimePoint since) const;
@@ -164,7 +164,7 @@
     bool m_endpointsKnown = false;
     HostMemory m_hosts;
     std::map<EndpointId, std::uint32_t> m_shares;
-    std::size_t m_sharesFor = 0; ///< hosts counted when the shares were split
+    std::size_t m_sharesFor = 0; ///< number of hosts when the shares were computed
     bool m_sharesStale = true;
     std::map<AttemptId, WaitingTicket> m_tickets;
     std::map<ClassId, ClassQueue> m_queues;
--- a/src/arbiter/localshare_test.cpp
+++ b/src/arbiter/localshare_test.cpp
@@ -88,10 +88,10 @@
     });
 }
 
-TEST_CASE("a host that sees itself alone keeps to its share among the hosts it knew")
+TEST_CASE("a host that sees no other host grants only its share among the hosts that it knew")
 {
-    // The callers of the other side see their engines overfilled. First a host is cut off; it believes the others
-    // dead; then it grants alone. Counted by the live list its share would be every slot, while the others use theirs.
+    // Guards against overfilled engines: a host that is cut off takes the others for dead and grants by itself. By the live
+    // list its share would be every slot, while the others still use theirs.
     const std::vector<HostId> hosts = hostsOf(8);
     LocalShare share = shareOf(hosts[0], hosts, {endpointOf("e", 16)});
     REQUIRE(share.share(start, EndpointId("e")) == 2);
@@ -102,9 +102,8 @@
 
 TEST_CASE("alone, a host grants by tier, sheds from below and starves no class", "[tier-order][no-starvation]")
 {
-    // The clerk's request must not wait behind tagging, or be shed for it, only because the arbiter is away; and the
-    // tagging of a busy day must still run. First a queue of all tiers builds up, then places come free one by one,
-    // then the queue is over its budget.
+    // While the arbiter is unavailable, a higher request must not wait behind a lower one or be shed for it, and lower classes
+    // must still run. A queue of all tiers builds up, then slots become free one by one, then the queue is shed.
     rc::prop("against the definition", [] {
         LocalShare share = shareOf(HostId("host-0"), hostsOf(1), {endpointOf("e", 1)});
         const std::vector<int> tiers = *rc::gen::container<std::vector<int>>(120, rc::gen::inRange(0, 3));
@@ -126,7 +125,7 @@
                 highest = std::min(highest, waitingTier);
                 remainingTiers.insert(waitingTier);
             }
-            // Out of order only by a class's share: at most each 20th grant of a class with a share of 0.05.
+            // Out of order only by a class's share: at most every 20th grant for a class with a share of 0.05.
             RC_ASSERT((tier <= highest || sinceLast[tier] >= 19));
             for (int level = 0; level < 3; ++level) {
                 sinceLast[level] = level == tier ? 0 : sinceLast[level] + 1;
@@ -144,7 +143,7 @@
     });
 }
 
-TEST_CASE("alone on load reports, a host sends to an endpoint until its last report plus its own sends fill it")
+TEST_CASE("with load reports, a host sends to an endpoint until the last report plus its own work since fills the slots")
 {
     LocalShare share = shareOf(HostId("host-0"), hostsOf(8), {endpointOf("e1", 4), endpointOf("e2", 4)});
     share.loadReport(start, {EndpointId("e1"), 3, 0, 0, 0s});
@@ -163,7 +162,7 @@
     REQUIRE(share.grantNext(start + 3ms, LocalShareMode::LoadReports)->endpoint == e1);
 }
 
-TEST_CASE("endpoints that leave or failed the request before are passed over", "[endpoint-drain]")
+TEST_CASE("leaving endpoints are never used, and those to avoid only when no other is free", "[endpoint-drain]")
 {
     Endpoint leaving = endpointOf("leaving", 8);
     leaving.state = EndpointState::Leaving;
@@ -172,7 +171,7 @@
     share.add(attempt(1), ClassId("tier-0"), start + 1ms, {EndpointId("e1")});
     share.add(attempt(2), ClassId("tier-0"), start + 2ms, {});
     REQUIRE(share.grantNext(start, LocalShareMode::StaticShare)->endpoint == EndpointId("e2"));
-    REQUIRE(share.grantNext(start, LocalShareMode::StaticShare)->endpoint == EndpointId("e1")); // better than none
+    REQUIRE(share.grantNext(start, LocalShareMode::StaticShare)->endpoint == EndpointId("e1")); // no other is free
     REQUIRE_FALSE(share.grantNext(start, LocalShareMode::StaticShare).has_value());
     share.setEndpoints(std::vector{leaving});
     REQUIRE(share.hasNoUsableEndpoint());
--- a/src/arbiter/permitclient_test.cpp
+++ b/src/arbiter/permitclient_test.cpp
@@ -17,6 +17,7 @@
 const ShardId model("model");
 constexpr Duration step = 20ms;
 
+/** Faults of the links. */
 struct Chaos
 {
     double loss = 0;
@@ -24,7 +25,7 @@
     Duration maxDelay{};
 };
 
-/** One desk, three hosts that would all serve, links that lose, double, delay and reorder, and a relay's memory. */
+/** One client, three hosts that may all serve, links that lose, duplicate, delay and reorder, and the relay's record of answers. */
 class ClientWorld
 {
 public:
@@ -42,7 +43,7 @@
         m_client.ownerChanged(m_now, arbiters[0]);
     }
 
-    /** A new process on the host: nothing is remembered. */
+    /** Starts a new process on the host, without any former state. */
     void start(const HostId &host)
     {
         const std::vector<Endpoint> endpoints{endpointNamed("e1", 4), endpointNamed("e2", 4)};
@@ -149,7 +150,7 @@
     {
         return m_terms.at(host).status();
     }
-    /** What the relay was sent against the rules; empty when nothing was. */
+    /** The last violation of the relay's guarantees; empty if there was none. */
     const std::string &violation() const
     {
         return m_violation;
@@ -200,7 +201,7 @@
     }
     void deliver()
     {
-        // What a frozen host would read or has written stays in the buffers until it wakes.
+        // Messages to and from a frozen host stay in the buffers until it resumes.
         std::vector<Message> due;
         std::erase_if(m_messages, [&](Message &message) {
             const bool isDue = message.at <= m_now && !m_frozen.contains(message.arbiter);
@@ -313,8 +314,8 @@
 
 TEST_CASE("whatever the links and arbiters do, each request has one answer and the newest arbiter knows what runs", "[at-most-once]")
 {
-    // A caller must not hang for ever, be answered twice, or have its request run under two permits. Messages are
-    // lost, doubled, late and overtaken; arbiters die, freeze, wake and serve two at a time; then all is calm.
+    // A request must not hang, be answered twice or run under two permits. Messages are lost, duplicated, late and reordered;
+    // arbiters die, freeze, resume and serve two at a time; then all faults end.
     rc::prop("one answer, one permit, nothing leaked", [] {
         ClientWorld world(*rc::gen::arbitrary<std::uint64_t>());
         for (const Event &event : anyHistory()) {
@@ -323,7 +324,7 @@
         }
         world.calm();
         world.setOwner(arbiters[1]);
-        world.request(); // a term that nobody talks to any more may remember what it likes
+        world.request(); // a term that receives no messages may keep outdated state
         world.run(25s);
         RC_ASSERT(world.violation() == "");
         for (const AttemptId &id : world.requested()) {
@@ -344,7 +345,7 @@
 namespace
 {
 
-/** The batches among the desk's actions, after a tick. */
+/** Ticks the client and returns the batches among its actions. */
 std::vector<PermitRequests> batchesOf(PermitClient &client, TimePoint now)
 {
     client.tick(now);
@@ -409,10 +410,10 @@
 
 } // namespace
 
-TEST_CASE("a grant that was held up longer than it lives is not used")
+TEST_CASE("a grant that is delayed past its expiry is not used")
 {
-    // The caller's request would go to a place that the arbiter has handed on. The arbiter's host stood still for three
-    // seconds, too short for a new owner; the epoch is the present one. The answer names the last batch it had heard.
+    // Guards against use of a slot that the arbiter has granted to another request. The arbiter's host was frozen for three
+    // seconds, too short for a new owner, so the epoch is current. The answer states the last batch that it had received.
     PermitClient client = clientOfOwner();
     client.request(begin, ticketOf("r"));
     REQUIRE(batchesOf(client, begin).size() == 1);
@@ -424,10 +425,10 @@
     REQUIRE(client.status().held == 1);
 }
 
-TEST_CASE("a permit that is granted while everything is to be sent again is told too")
+TEST_CASE("a permit that is granted while a full re-send is pending is part of it")
 {
-    // The engine would be filled above its limit: the arbiter forgets what the full re-send does not name. The answer
-    // with the grant is also the one that shows a gap, so the ticket is on the list and no ticket any more.
+    // Guards against an overfilled engine: the arbiter drops the permits that a full re-send does not list. The answer with
+    // the grant also reveals a gap, so the ticket is queued for the re-send when it becomes a permit.
     PermitClient client = clientOfOwner();
     client.request(begin, ticketOf("r"));
     REQUIRE(batchesOf(client, begin).size() == 1);
@@ -437,10 +438,10 @@
     REQUIRE(again.front().held.size() == 1);
 }
 
-TEST_CASE("a full re-send after loss gives back the places that it does not name")
+TEST_CASE("a full re-send after loss frees the slots of permits that it does not list")
 {
-    // One place fewer for the callers until the silent-permit limit. The arbiter was frozen and reads, late, of a permit
-    // whose release went to another arbiter; what follows does not mention it.
+    // Guards against a slot that is lost until the silent-permit limit. An arbiter that was frozen receives, late, a permit
+    // whose release went to another arbiter; later batches do not contain it.
     ArbiterTerm<SlotPool> term = termOfOneShard();
     PermitRequests late = batchOf(5, false);
     late.held = {{ticketOf("r"), EndpointId("e1"), 3}};
@@ -451,9 +452,9 @@
     REQUIRE(term.status()->running == 0);
 }
 
-TEST_CASE("a late grant that is given back frees nothing in another term")
+TEST_CASE("a late grant that is returned frees nothing in another term")
 {
-    // The engine would be overfilled: the same attempt runs rightly under the present term of the same host.
+    // Guards against an overfilled engine: the same attempt runs under a valid permit of the current term of the same host.
     ArbiterTerm<SlotPool> term = termOfOneShard();
     PermitRequests sent = batchOf(1, true);
     sent.epochSeen = 4;
@@ -469,9 +470,9 @@
     REQUIRE(term.status()->running == 0);
 }
 
-TEST_CASE("a full desk refuses the lowest tier at once", "[tier-order]")
+TEST_CASE("a full client refuses the lowest tier at once", "[tier-order]")
 {
-    // A supervisor's request must not be the one that finds the desk full of tagging.
+    // A high request must not be refused because the client is full of lower ones.
     PermitClient client = clientOfOwner({.shard = model, .self = entry, .maxWaiting = 2});
     client.request(begin, ticketOf("tag1", "tagging"));
     client.request(begin, ticketOf("tag2", "tagging"));
@@ -482,9 +483,9 @@
     REQUIRE((refusal.id.request == RequestId("tag2") && refusal.reason == RefusalReason::QueueFull));
 }
 
-TEST_CASE("releases that nobody takes are bounded, and the arbiter starts from nothing")
+TEST_CASE("over the bound of unacknowledged releases the client takes a new incarnation")
 {
-    // An arbiter out of reach for hours: each release waits for it. Over the bound the desk takes a new incarnation.
+    // While the arbiter is unreachable, every release waits for it; without the bound they would accumulate for hours.
     PermitClient client = clientOfOwner({.shard = model, .self = entry, .maxReleases = 2});
     for (const char *name : {"a", "b", "c", "d"}) {
         client.request(begin, ticketOf(name));
@@ -499,10 +500,10 @@
     REQUIRE(batches.front().tickets.size() == 1);
 }
 
-TEST_CASE("a request that nobody answers is refused at its deadline, and the arbiter is sent")
+TEST_CASE("a request without an answer is refused at its deadline and cancelled at the arbiter")
 {
-    // The caller must hear "not run" in time though the arbiter is silent and the own share has no place. A ticket that
-    // stayed with the arbiter would later be granted for nobody.
+    // The caller must get a refusal in time although the arbiter is silent and the own share has no slot. A ticket that stayed
+    // at the arbiter would later be granted in vain.
     PermitClient client = clientOfOwner();
     client.request(begin, ticketOf("r"));
     REQUIRE(batchesOf(client, begin).size() == 1);
--- a/src/arbiter/permitcodec.cpp
+++ b/src/arbiter/permitcodec.cpp
@@ -1,6 +1,6 @@
-// Encoding shares equal strings within a batch (class, customer and endpoint names repeat), which takes about a third
-// off a large batch. Decoding collects the first fault in a Reader and goes on with empty values, so that each
-// table is read by one straight list of fields instead of a check a line.
+// Encoding shares equal strings within a batch (class, customer and endpoint names repeat), which makes a large batch about a third
+// smaller. Decoding records the first fault in a Reader and continues with empty values, so that each table is read by a plain list
+// of fields without a check per line.
 
 #include "arbiter/permitcodec.h"
 
@@ -21,7 +21,7 @@
 using flatbuffers::FlatBufferBuilder;
 using flatbuffers::Offset;
 
-/** Nested tables are at most four deep; more is an attack on the verifier's stack. */
+/** Nested tables are at most four deep; deeper ones are rejected to protect the verifier's stack. */
 constexpr flatbuffers::uoffset_t maxVerifyDepth = 8;
 constexpr flatbuffers::uoffset_t maxVerifyTables = 20'000;
 
@@ -41,7 +41,7 @@
     for (std::size_t i = 0; i < count; ++i) {
         offsets.push_back(encode(entries[i]));
     }
-    // An empty list is left out: it costs nothing on the wire.
+    // An empty list is omitted and takes no bytes on the wire.
     return offsets.empty() ? flatbuffers::Offset<flatbuffers::Vector<EntryOffset>>() : builder.CreateVector(offsets);
 }
 
@@ -112,7 +112,7 @@
     return {begin, begin + builder.GetSize()};
 }
 
-/** Reads fields against their bounds and remembers the first fault. */
+/** Reads fields, checks their bounds and records the first fault. */
 class Reader
 {
 public:
@@ -163,7 +163,7 @@
         return static_cast<Enum>(value);
     }
 
-    /** Each entry of a list that may be absent, through `read`. */
+    /** Reads each entry of a list, which may be absent, with `read`. */
     template <class Entry, class Read>
     auto list(const flatbuffers::Vector<Entry> *entries, std::size_t maxEntries, Read read)
     {
@@ -268,7 +268,7 @@
     return verifier.VerifyBuffer<Root>(nullptr) ? flatbuffers::GetRoot<Root>(data) : nullptr;
 }
 
-/** FlatBuffers reads in place; a payload inside a frame has no alignment of its own. */
+/** A copy that is aligned for FlatBuffers, which reads in place; a payload inside a frame may be unaligned. */
 std::vector<std::byte> aligned(std::span<const std::byte> bytes)
 {
     return {bytes.begin(), bytes.end()};
--- a/src/arbiter/permitcodec_test.cpp
+++ b/src/arbiter/permitcodec_test.cpp
@@ -137,7 +137,7 @@
 
 TEST_CASE("permit messages survive the way over the wire")
 {
-    // Equal encodings stand for equal values: every field is encoded.
+    // Comparing encodings compares values, since every field is encoded.
     rc::prop("requests", [] {
         const std::vector<std::byte> bytes = encodePermitRequests(anyRequests());
         const Result<PermitRequests, PermitDecodeError> decoded = decodePermitRequests(bytes);
@@ -203,7 +203,7 @@
     });
 }
 
-TEST_CASE("values out of their bounds are refused by type")
+TEST_CASE("values out of their bounds are refused with a typed error")
 {
     PermitRequests valid;
     valid.shard = ShardId("model");
@@ -239,7 +239,7 @@
 
 TEST_CASE("bytes a request on the link", "[.measure]")
 {
-    // One request costs a ticket, a grant and a release, each in a batch of `size`; names as in production.
+    // One request takes a ticket, a grant and a release, each in a batch of `size`; names are as long as in production.
     for (const std::size_t digests : {0, 8, 32}) {
         for (const std::size_t size : {1, 10, 100}) {
             PermitRequests tickets;
