--- a/src/arbiter/arbiter_test.cpp
+++ b/src/arbiter/arbiter_test.cpp
@@ -128,14 +128,14 @@
     {
         shard.ticket(ticket);
         const Grant first = std::get<Grant>(shard.arbiter.takeActions().at(0).message);
-        const auto [later, left] = GENERATE(table<Duration, Duration>({{500ms, 1500ms}, {2s, 2s}, {9s, 2s}}));
+        const auto [later, remaining] = GENERATE(table<Duration, Duration>({{500ms, 1500ms}, {2s, 2s}, {9s, 2s}}));
         shard.wait(later);
         shard.ticket(ticket);
         REQUIRE(shard.sentActions() == "+a");
         const Grant again = std::get<Grant>(shard.last[0].message);
         REQUIRE(again.endpoint == first.endpoint);
         REQUIRE(again.epoch == 7);
-        REQUIRE(again.expiresIn == left);
+        REQUIRE(again.expiresIn == remaining);
         REQUIRE(shard.pool.totalUsed() == 1);
     }
     SECTION("a release or cancel before its ticket ends it")
--- a/src/arbiter/arbiterhost.h
+++ b/src/arbiter/arbiterhost.h
@@ -8,8 +8,8 @@
 //
 // Use: construct with make_shared, call start(), then setPreset(), setEndpoints() and setHosts() whenever they change, and
 // linkChanged() when the peer network reports a link. A request's handler is called exactly once, never from inside
-// request(), and not after cancel(). A host without a majority, counted over the hosts that were live recently
-// (HostMemory), does not serve as arbiter; its clients grant from their static share.
+// request(), and not after cancel(). A host that sees no majority of the recently live hosts (HostMemory) does not serve as
+// arbiter; its clients grant from their static share.
 //
 // Cost: one pass over the shards for each event-loop turn in which something happened. Bounds: the shards are those passed
 // to setEndpoints(); each is bounded by its client and arbiter.
--- a/src/arbiter/arbiterhost_test.cpp
+++ b/src/arbiter/arbiterhost_test.cpp
@@ -183,9 +183,9 @@
 
     std::vector<HostId> withoutOwner() const
     {
-        std::vector<HostId> rest = live;
-        std::erase(rest, owner);
-        return rest;
+        std::vector<HostId> others = live;
+        std::erase(others, owner);
+        return others;
     }
 
     PermitShardStatus statusOf(const HostId &host) const
@@ -270,10 +270,10 @@
     REQUIRE((local == 2 || local == 3)); // of 8 slots over 3 hosts
     REQUIRE(cluster.granted("tag").size() == tagsBefore);
 
-    const std::vector<HostId> rest = cluster.withoutOwner();
-    cluster.announce(rest, rest);
+    const std::vector<HostId> others = cluster.withoutOwner();
+    cluster.announce(others, others);
     cluster.run(2s);
-    const HostId next = rendezvousOwner(rest, "arbiter/" + shard.text());
+    const HostId next = rendezvousOwner(others, "arbiter/" + shard.text());
     REQUIRE_FALSE(cluster.statusOf(cluster.entry).desk.fallback);
     REQUIRE(cluster.statusOf(next).arbiter->running == 8);
     REQUIRE(cluster.statusOf(cluster.entry).desk.held == 8);
@@ -305,8 +305,8 @@
     for (int i = 0; i < 4; ++i) {
         cluster.release(cluster.owner, "own" + std::to_string(i)); // lets it grant four of the waiting ones
     }
-    const std::vector<HostId> rest = cluster.withoutOwner();
-    cluster.announce(rest, rest);
+    const std::vector<HostId> others = cluster.withoutOwner();
+    cluster.announce(others, others);
     cluster.run(2s);
     REQUIRE(cluster.granted("r").size() == 8);
 
@@ -357,10 +357,10 @@
     Cluster cluster;
     cluster.requests(cluster.entry, "r", 12);
     cluster.run(400ms);
-    const std::vector<HostId> rest = cluster.withoutOwner();
-    cluster.announce(cluster.live, rest);
+    const std::vector<HostId> others = cluster.withoutOwner();
+    cluster.announce(cluster.live, others);
     cluster.run(600ms);
-    const HostId next = rendezvousOwner(rest, "arbiter/" + shard.text());
+    const HostId next = rendezvousOwner(others, "arbiter/" + shard.text());
     REQUIRE_FALSE(cluster.statusOf(cluster.owner).arbiter.has_value());
     REQUIRE(cluster.statusOf(next).arbiter->running == 8);
     REQUIRE(cluster.statusOf(next).arbiter->queued == 4);
--- a/src/arbiter/arbiterhostimpl.h
+++ b/src/arbiter/arbiterhostimpl.h
@@ -245,7 +245,7 @@
 void ArbiterHost<ClockType, Transport, Pool>::assignOwners(TimePoint now)
 {
     // Cut off from the majority, this host would assign an arbiter on its own side of the partition while the other side keeps
-    // another: the endpoints would be filled twice. The static shares of both sides do not overlap.
+    // another: the endpoints would be filled twice. A host's static share is its own on either side.
     m_sawMajority = m_hosts.seesMajority(now);
     for (auto &[id, shard] : m_shards) {
         const HostId owner = m_sawMajority ? rendezvousOwner(m_hosts.live(), "arbiter/" + id.text()) : HostId();
--- a/src/arbiter/arbiterimpl.h
+++ b/src/arbiter/arbiterimpl.h
@@ -79,8 +79,8 @@
 void Arbiter<Pool>::resendGrant(TimePoint now, const Permit &permit)
 {
     Grant grant = permit.grant;
-    const Duration left = permit.granted + m_options.grantLifetime - now;
-    grant.expiresIn = left > Duration::zero() ? left : m_options.grantLifetime;
+    const Duration remaining = permit.granted + m_options.grantLifetime - now;
+    grant.expiresIn = remaining > Duration::zero() ? remaining : m_options.grantLifetime;
     send(permit.ticket.entry, grant);
 }
 
@@ -374,10 +374,10 @@
 template <EndpointChooser Pool>
 void Arbiter<Pool>::freeSlot(TimePoint now, const Permit &permit, const Release &release)
 {
-    const bool saw = release.endpoint == permit.reservation.endpoint
+    const bool observed = release.endpoint == permit.reservation.endpoint
         && (release.kind == ReleaseKind::Completed || release.kind == ReleaseKind::EndpointFailed
             || (release.kind == ReleaseKind::Cancelled && release.tokens > 0));
-    if (!saw) {
+    if (!observed) {
         m_pool.freeUnused(now, permit.reservation);
         return;
     }
--- a/src/arbiter/arbiterproperty_test.cpp
+++ b/src/arbiter/arbiterproperty_test.cpp
@@ -210,7 +210,7 @@
 
     void end(Known &known)
     {
-        m_preemptedSlots = m_preemptedSlots || (known.state == State::Running && known.stopOrdered);
+        m_preemptedSlotPending = m_preemptedSlotPending || (known.state == State::Running && known.stopOrdered);
         if (known.state == State::Unknown || known.state == State::Waiting || known.state == State::Running) {
             known.state = State::Ended;
             ++known.ends;
@@ -280,7 +280,7 @@
         for (const ArbiterAction &action : m_arbiter.takeActions()) {
             std::visit([this](const auto &message) { checkMessage(m_known[std::stoul(message.id.request.text())], message); }, action.message);
         }
-        m_preemptedSlots = m_preemptedSlots && count(State::Waiting) > 0;
+        m_preemptedSlotPending = m_preemptedSlotPending && count(State::Waiting) > 0;
         RC_ASSERT_FALSE(anyWaiting([this](const Known &known) { return known.deadline <= m_now; }));
         checkBudgets();
         const ArbiterStatus status = m_arbiter.status();
@@ -296,10 +296,10 @@
         const bool overtakes = anyWaiting([&](const Known &other) { return ruleOf(other).tier.isHigherThan(ruleOf(known).tier); });
         if (overtakes) {
             RC_ASSERT_FALSE(m_lastOvertook);
-            RC_ASSERT_FALSE(m_preemptedSlots);
+            RC_ASSERT_FALSE(m_preemptedSlotPending);
         }
         m_lastOvertook = overtakes;
-        m_preemptedSlots = false;
+        m_preemptedSlotPending = false;
         known.state = State::Running;
         known.endpoint = grant.endpoint;
         known.tier = ruleOf(known).tier;
@@ -385,7 +385,7 @@
     CountedEndpoints m_pool;
     TestArbiter m_arbiter;
     bool m_lastOvertook = false;
-    bool m_preemptedSlots = false; ///< a slot freed by preemption has not been granted again
+    bool m_preemptedSlotPending = false; ///< a slot freed by preemption has not been granted again
     const Known *m_resent = nullptr; ///< was preempted before and is now re-sent
 };
 
--- a/src/arbiter/permitclient_test.cpp
+++ b/src/arbiter/permitclient_test.cpp
@@ -18,10 +18,10 @@
 constexpr Duration step = 20ms;
 
 /** Faults of the links. */
-struct Chaos
+struct LinkFaults
 {
     double loss = 0;
-    double doubling = 0;
+    double duplication = 0;
     Duration maxDelay{};
 };
 
@@ -72,15 +72,15 @@
         m_owner = host;
         m_client.ownerChanged(m_now, host);
     }
-    void calm()
+    void clearFaults()
     {
-        m_chaos = {};
+        m_faults = {};
         m_down.clear();
         m_frozen.clear();
     }
-    void setChaos(Chaos chaos)
+    void setFaults(LinkFaults faults)
     {
-        m_chaos = chaos;
+        m_faults = faults;
     }
 
     AttemptId request(const ClassId &classId = ClassId("query"), Duration deadline = 10s)
@@ -194,9 +194,9 @@
     }
     void transmit(const HostId &arbiter, const std::variant<PermitRequests, PermitAnswers> &content)
     {
-        const int copies = m_random.uniform() < m_chaos.loss ? 0 : m_random.uniform() < m_chaos.doubling ? 2 : 1;
+        const int copies = m_random.uniform() < m_faults.loss ? 0 : m_random.uniform() < m_faults.duplication ? 2 : 1;
         for (int i = 0; i < copies; ++i) {
-            m_messages.push_back({m_now + fromSeconds(m_random.uniform() * toSeconds(m_chaos.maxDelay)), arbiter, content});
+            m_messages.push_back({m_now + fromSeconds(m_random.uniform() * toSeconds(m_faults.maxDelay)), arbiter, content});
         }
     }
     void deliver()
@@ -249,7 +249,7 @@
 
     TimePoint m_now = TimePoint(1h);
     Random m_random;
-    Chaos m_chaos;
+    LinkFaults m_faults;
     PermitClient m_client;
     HostId m_owner = arbiters[0];
     std::map<HostId, ArbiterTerm<SlotPool>> m_terms;
@@ -295,7 +295,7 @@
     } else if (event.kind == 14) {
         world.setFrozen(host, event.choice % 2 == 0);
     } else if (event.kind == 15) {
-        world.setChaos({0.3, 0.3, 1ms * (event.choice % 3000)});
+        world.setFaults({0.3, 0.3, 1ms * (event.choice % 3000)});
     } else {
         world.client().linkUp(world.now());
     }
@@ -322,7 +322,7 @@
             play(world, event);
             RC_ASSERT(world.violation() == "");
         }
-        world.calm();
+        world.clearFaults();
         world.setOwner(arbiters[1]);
         world.request(); // a term that receives no messages may keep outdated state
         world.run(25s);
