--- a/src/arbiter/arbiterproperty_test.cpp
+++ b/src/arbiter/arbiterproperty_test.cpp
@@ -1,5 +1,5 @@
-// The arbiter over arbitrary histories, against an oracle that keeps all tickets in one plain vector and scans it
-// in full to tell who might have been granted, shed or stopped.
+// The arbiter over arbitrary histories, against an oracle that keeps all tickets in one vector and scans it in full to
+// determine which tickets may be granted, shed or preempted.
 
 #include "arbiter/arbiter.h"
 #include "arbiter/arbitertestkit.h"
@@ -17,7 +17,7 @@
 {
 
 constexpr TimePoint start(1h);
-constexpr std::size_t attempts = 160; // few, so that messages meet attempts in every state
+constexpr std::size_t attempts = 160; // few, so that messages reach attempts in every state
 constexpr std::size_t hosts = 3;
 const std::vector<std::string> classNames = {"query", "draft", "tagging", "summary"};
 
@@ -27,13 +27,13 @@
     Cancel,
     Progress,
     Held,
-    HostGone,
+    HostRemoved,
     Wait,
     Switch,
-    Places,
+    Slots,
 };
 
-/** One event; attempts, hosts and presets are picked by `pick`. Repeats, losses and reorderings arise by themselves. */
+/** One event; `pick` selects the attempt, host or preset. Random picks produce repeated, missing and reordered messages. */
 struct Event
 {
     Step step = Step::Wait;
@@ -53,10 +53,10 @@
                                                                {1, Step::Cancel},
                                                                {1, Step::Progress},
                                                                {1, Step::Held},
-                                                               {1, Step::HostGone},
+                                                               {1, Step::HostRemoved},
                                                                {3, Step::Wait},
                                                                {1, Step::Switch},
-                                                               {1, Step::Places}});
+                                                               {1, Step::Slots}});
     const rc::Gen<Event> event = rc::gen::build<Event>(rc::gen::set(&Event::step, step),
                                                        rc::gen::set(&Event::pick, rc::gen::inRange<std::uint32_t>(0, 1'000'000)),
                                                        rc::gen::set(&Event::amount, rc::gen::inRange<std::uint32_t>(0, 3'000)));
@@ -87,16 +87,16 @@
     Ended,
 };
 
-/** What the oracle knows of one attempt. */
+/** The oracle's state of one attempt. */
 struct Known
 {
     Ticket ticket;
     State state = State::Unknown;
     TimePoint deadline;
-    EndpointId endpoint; ///< while running, as the rest below
+    EndpointId endpoint; ///< this and the fields below: while running
     Tier tier; ///< the highest since the grant
-    bool stoppable = false; ///< by its class, and neither granted out of turn nor re-sent
-    bool told = false; ///< to stop
+    bool stoppable = false; ///< its class allows it, and it was neither granted out of turn nor re-sent
+    bool stopOrdered = false; ///< a preemption was sent
     bool orphan = false;
     std::size_t ends = 0;
     RefusalReason reason{};
@@ -106,8 +106,8 @@
 class Oracle
 {
 public:
-    explicit Oracle(std::uint32_t places)
-        : m_pool{3, 1 + places % 2}
+    explicit Oracle(std::uint32_t slots)
+        : m_pool{3, 1 + slots % 2}
         , m_arbiter(ShardId("s"), options(), m_pool, 1, start)
     {
         for (std::size_t i = 0; i < attempts; ++i) {
@@ -140,7 +140,7 @@
         case Step::Held:
             hold(known, event.amount);
             break;
-        case Step::HostGone:
+        case Step::HostRemoved:
             killHost(HostId("h" + std::to_string(event.pick % hosts)));
             break;
         case Step::Wait:
@@ -150,15 +150,15 @@
         case Step::Switch:
             switchTo(event.pick);
             break;
-        case Step::Places:
-            m_pool.placesEach = 1 + event.amount % 2;
+        case Step::Slots:
+            m_pool.slotsEach = 1 + event.amount % 2;
             m_arbiter.tick(m_now);
             break;
         }
         check();
     }
 
-    /** Ends what runs until nothing is left, and checks that each ticket had one end. */
+    /** Releases running attempts until none remain, and checks that each ticket ended once. */
     void drain()
     {
         for (std::size_t rounds = 0; rounds <= attempts; ++rounds) {
@@ -179,14 +179,14 @@
     {
         ArbiterOptions options;
         options.queueBudget = 8;
-        options.reservedPlaces = 2;
-        options.endedMemory = 10h; // the oracle neither forgets nor gives up
+        options.reservedTickets = 2;
+        options.endedMemory = 10h; // the oracle does not model expiry
         options.silentPermitLimit = 10h;
         options.orphanHold = 10h;
         return options;
     }
 
-    /** One that runs, but for one time in four. */
+    /** A running attempt in three of four cases, otherwise any. */
     Known &mostlyRunning(std::uint32_t pick)
     {
         Known &any = m_known[pick % attempts];
@@ -210,7 +210,7 @@
 
     void end(Known &known)
     {
-        m_owedInTurn = m_owedInTurn || (known.state == State::Running && known.told);
+        m_preemptedSlotPending = m_preemptedSlotPending || (known.state == State::Running && known.stopOrdered);
         if (known.state == State::Unknown || known.state == State::Waiting || known.state == State::Running) {
             known.state = State::Ended;
             ++known.ends;
@@ -242,13 +242,13 @@
     {
         const EndpointId endpoint = CountedEndpoints::idOf(amount % 3);
         const bool goesOn = known.state == State::Running && known.endpoint == endpoint;
-        m_resent = goesOn && known.told ? &known : nullptr;
+        m_resent = goesOn && known.stopOrdered ? &known : nullptr;
         if (known.state != State::Refused && known.state != State::Ended) {
             known.state = State::Running;
             known.endpoint = endpoint;
             known.tier = goesOn ? known.tier : ruleOf(known).tier;
             known.stoppable = known.stoppable && goesOn;
-            known.told = known.told && goesOn;
+            known.stopOrdered = known.stopOrdered && goesOn;
             known.orphan = false;
         }
         m_arbiter.held(m_now, HeldPermit{known.ticket, endpoint, amount});
@@ -261,7 +261,7 @@
             known.orphan = known.orphan || dead;
             known.state = dead && known.state == State::Waiting ? State::Unknown : known.state;
         }
-        m_arbiter.hostGone(m_now, host);
+        m_arbiter.hostRemoved(m_now, host);
     }
 
     void switchTo(std::uint32_t number)
@@ -280,7 +280,7 @@
         for (const ArbiterAction &action : m_arbiter.takeActions()) {
             std::visit([this](const auto &message) { checkMessage(m_known[std::stoul(message.id.request.text())], message); }, action.message);
         }
-        m_owedInTurn = m_owedInTurn && count(State::Waiting) > 0;
+        m_preemptedSlotPending = m_preemptedSlotPending && count(State::Waiting) > 0;
         RC_ASSERT_FALSE(anyWaiting([this](const Known &known) { return known.deadline <= m_now; }));
         checkBudgets();
         const ArbiterStatus status = m_arbiter.status();
@@ -296,15 +296,15 @@
         const bool overtakes = anyWaiting([&](const Known &other) { return ruleOf(other).tier.isHigherThan(ruleOf(known).tier); });
         if (overtakes) {
             RC_ASSERT_FALSE(m_lastOvertook);
-            RC_ASSERT_FALSE(m_owedInTurn);
+            RC_ASSERT_FALSE(m_preemptedSlotPending);
         }
         m_lastOvertook = overtakes;
-        m_owedInTurn = false;
+        m_preemptedSlotPending = false;
         known.state = State::Running;
         known.endpoint = grant.endpoint;
         known.tier = ruleOf(known).tier;
         known.stoppable = ruleOf(known).preemptible && !overtakes;
-        known.told = false;
+        known.stopOrdered = false;
         known.orphan = false;
     }
 
@@ -328,22 +328,22 @@
     void checkMessage(Known &known, const Preemption &)
     {
         if (std::exchange(m_resent, nullptr) == &known) {
-            return; // its host may not have heard the first one
+            return; // its host may not have received the first one
         }
-        RC_ASSERT((mayBeStopped(known) && m_preset->preset.preemption));
-        // Never more orders than requests that could use the places.
+        RC_ASSERT((isPreemptible(known) && m_preset->preset.preemption));
+        // Never more preemptions than requests that could use the slots.
         const auto isAbove = [&](const Known &other) { return other.state == State::Waiting && ruleOf(other).tier.isHigherThan(known.tier); };
-        const auto isStopping = [](const Known &other) { return other.state == State::Running && other.told; };
+        const auto isStopping = [](const Known &other) { return other.state == State::Running && other.stopOrdered; };
         RC_ASSERT(std::ranges::count_if(m_known, isStopping) < std::ranges::count_if(m_known, isAbove));
         for (const Known &other : m_known) {
-            RC_ASSERT_FALSE((mayBeStopped(other) && known.tier.isHigherThan(other.tier)));
+            RC_ASSERT_FALSE((isPreemptible(other) && known.tier.isHigherThan(other.tier)));
         }
-        known.told = true;
+        known.stopOrdered = true;
     }
 
-    static bool mayBeStopped(const Known &known)
+    static bool isPreemptible(const Known &known)
     {
-        return known.state == State::Running && known.stoppable && !known.told && !known.orphan;
+        return known.state == State::Running && known.stoppable && !known.stopOrdered && !known.orphan;
     }
 
     void checkBudgets() const
@@ -352,14 +352,14 @@
         for (const std::string &name : classNames) {
             const std::size_t waiting = waitingOf(ClassId(name));
             RC_ASSERT(waiting <= m_preset->preset.findClass(ClassId(name))->queueLimit);
-            counted += waiting - std::min(waiting, options().reservedPlaces);
+            counted += waiting - std::min(waiting, options().reservedTickets);
         }
         RC_ASSERT(counted <= options().queueBudget);
     }
 
     bool couldGo(const Known &known) const
     {
-        return waitingOf(known.ticket.classId) > options().reservedPlaces;
+        return waitingOf(known.ticket.classId) > options().reservedTickets;
     }
 
     std::size_t waitingOf(const ClassId &classId) const
@@ -385,16 +385,16 @@
     CountedEndpoints m_pool;
     TestArbiter m_arbiter;
     bool m_lastOvertook = false;
-    bool m_owedInTurn = false; ///< a place freed by preemption has not been granted again
-    const Known *m_resent = nullptr; ///< told to stop before, and now re-sent
+    bool m_preemptedSlotPending = false; ///< a slot freed by preemption has not been granted again
+    const Known *m_resent = nullptr; ///< was preempted before and is now re-sent
 };
 
 } // namespace
 
 TEST_CASE("no history makes the arbiter pass over a higher request, break a budget or end a ticket twice", "[tier-order]")
 {
-    // The caller of a higher request must not be refused or cut off while a lower one could go instead, whatever
-    // arrives, repeats, gets lost, dies or is switched in between. Each action is checked by a full scan.
+    // A higher request must not be refused or stopped while a lower one could be, whatever messages arrive, repeat or are
+    // lost, hosts die or presets are switched. Each action is checked by a full scan.
     rc::prop("every action is right by a full scan of all tickets", [] {
         const std::vector<Event> history = *anyHistory();
         Oracle oracle(*rc::gen::inRange<std::uint32_t>(0, 3));
@@ -408,14 +408,14 @@
 namespace
 {
 
-/** A shard flooded by higher requests; the lower classes come and go. */
+/** A shard flooded by higher requests, with lower classes whose tickets come and go. */
 class Flood
 {
 public:
-    Flood(std::vector<double> shares, std::size_t places, std::size_t backlog)
+    Flood(std::vector<double> shares, std::size_t slots, std::size_t backlog)
         : m_shares(std::move(shares))
         , m_backlog(backlog)
-        , m_pool{1, places}
+        , m_pool{1, slots}
         , m_arbiter(ShardId("s"), options(), m_pool, 1, start)
     {
         std::vector<ClassRule> classes = {classRule("high", 0, 0.01)};
@@ -424,19 +424,19 @@
         }
         m_arbiter.applyPreset(start, presetOf(classes));
         m_grantsWaited.resize(m_shares.size());
-        for (std::size_t i = 0; i < places; ++i) {
+        for (std::size_t i = 0; i < slots; ++i) {
             send("high", 1s);
         }
         refill();
     }
 
-    /** Lets one running attempt end and tells which class was granted: 0 for the high one. */
+    /** Ends one running attempt and returns the class that was granted: 0 for the high one. */
     std::size_t step(std::size_t finished, bool lowLeaves)
     {
         refill();
         m_now += 10ms;
         if (lowLeaves && std::ranges::count(m_running, m_lastLow) == 0) {
-            // A lower request is cancelled and another one comes: the class's claim must not start afresh.
+            // A lower request is cancelled and replaced by another one: the class's credit must not start again.
             m_arbiter.cancel(m_now, attempt(m_lastLow));
         }
         const std::string ended = m_running[finished % m_running.size()];
@@ -445,7 +445,7 @@
         return takeGrant();
     }
 
-    /** Grants of the shard since the class last had one, while it had a ticket waiting. */
+    /** Grants of the shard since the class's last one, while it had a waiting ticket. */
     std::size_t grantsWaited(std::size_t low) const
     {
         return m_grantsWaited[low];
@@ -460,11 +460,11 @@
         for (const double share : m_shares) {
             sum += share;
         }
-        return m_shares[low] * std::min(1.0, options().mostShares / sum);
+        return m_shares[low] * std::min(1.0, options().maxShareSum / sum);
     }
     std::size_t bound(std::size_t low) const
     {
-        return static_cast<std::size_t>(std::ceil(1 / scaledShare(low))) + (2 + GrantOrder::mostDeferrals) * (m_shares.size() + 1);
+        return static_cast<std::size_t>(std::ceil(1 / scaledShare(low))) + (2 + GrantOrder::maxDeferrals) * (m_shares.size() + 1);
     }
 
 private:
@@ -472,8 +472,8 @@
     {
         ArbiterOptions options;
         options.queueBudget = 20;
-        options.reservedPlaces = 2;
-        options.mostShares = 0.3;
+        options.reservedTickets = 2;
+        options.maxShareSum = 0.3;
         return options;
     }
 
@@ -541,9 +541,9 @@
 
 TEST_CASE("under a permanent flood of higher requests every class is granted within its bound", "[no-starvation]")
 {
-    // Cue-sheet tags wait while supervisors' queries never stop coming, fill the queue budget and are all about to
-    // reach their deadlines. Without reserved places every tag is shed before its turn; without the minimum share
-    // its turn never comes; with endless deferrals the queries near their deadlines keep it away.
+    // Guards against starvation: higher requests never stop, fill the queue budget and are all about to reach their
+    // deadlines. Without reserved tickets every lower request is shed before it is served; without the minimum share it is
+    // never served; with unlimited deferrals the requests near their deadlines always go first.
     rc::prop("each wait, in grants of the shard, is within the stated bound", [] {
         Flood flood(anyShares(), *rc::gen::inRange<std::size_t>(1, 4), *rc::gen::inRange<std::size_t>(1, 30));
         const std::size_t classes = flood.classes();
@@ -558,8 +558,8 @@
 
 TEST_CASE("minimum shares delay a higher request by no more than the stated bound", "[tier-order]")
 {
-    // A query waits behind n others; without a bound on grants out of turn the lower classes' shares could push it
-    // past its deadline.
+    // A query waits behind n others; without a bound on grants out of turn the lower classes' shares could delay it past its
+    // deadline.
     rc::prop("of the grants in any window, no more than the shares plus two a class are out of turn", [] {
         const std::vector<double> shares = anyShares();
         Flood flood(shares, 2, 10);
@@ -571,16 +571,16 @@
         for (std::size_t i = 0; i < 200; ++i) {
             taken.push_back(taken.back() + (flood.step(i, false) > 0 ? 1 : 0));
         }
-        bool kept = true;
+        bool withinBounds = true;
         for (std::size_t from = 0; from < taken.size(); from += 5) {
             for (std::size_t to = from; to < taken.size(); ++to) {
                 const std::size_t outOfTurn = taken[to] - taken[from];
                 const std::size_t window = to - from;
-                kept = kept && static_cast<double>(outOfTurn) <= sum * static_cast<double>(window) + 2.0 * static_cast<double>(shares.size());
-                kept = kept && outOfTurn <= (window + 1) / 2;
+                withinBounds = withinBounds && static_cast<double>(outOfTurn) <= sum * static_cast<double>(window) + 2.0 * static_cast<double>(shares.size());
+                withinBounds = withinBounds && outOfTurn <= (window + 1) / 2;
             }
         }
-        RC_ASSERT(kept);
+        RC_ASSERT(withinBounds);
     });
 }
 
--- a/src/arbiter/permitcodec.cpp
+++ b/src/arbiter/permitcodec.cpp
@@ -1,6 +1,6 @@
-// Encoding shares equal strings within a batch (class, customer and endpoint names repeat), which takes about a third
-// off a large batch. Decoding collects the first fault in a Reader and goes on with empty values, so that each
-// table is read by one straight list of fields instead of a check a line.
+// Encoding shares equal strings within a batch (class, customer and endpoint names repeat), which makes a large batch about a third
+// smaller. Decoding records the first fault in a Reader and continues with empty values, so that each table is read by a plain list
+// of fields without a check per line.
 
 #include "arbiter/permitcodec.h"
 
@@ -21,7 +21,7 @@
 using flatbuffers::FlatBufferBuilder;
 using flatbuffers::Offset;
 
-/** Nested tables are at most four deep; more is an attack on the verifier's stack. */
+/** Nested tables are at most four deep; deeper ones are rejected to protect the verifier's stack. */
 constexpr flatbuffers::uoffset_t maxVerifyDepth = 8;
 constexpr flatbuffers::uoffset_t maxVerifyTables = 20'000;
 
@@ -30,18 +30,18 @@
     return toMicroseconds(std::clamp(duration, Duration::zero(), maxPermitDuration));
 }
 
-/** The first `most` entries of a list, each encoded by `encode`. */
+/** The first `maxEntries` entries of a list, each encoded by `encode`. */
 template <class Entry, class Encode>
-auto encodeList(FlatBufferBuilder &builder, const std::vector<Entry> &entries, std::size_t most, Encode encode)
+auto encodeList(FlatBufferBuilder &builder, const std::vector<Entry> &entries, std::size_t maxEntries, Encode encode)
 {
     using EntryOffset = decltype(encode(entries.front()));
     std::vector<EntryOffset> offsets;
-    const std::size_t count = std::min(entries.size(), most);
+    const std::size_t count = std::min(entries.size(), maxEntries);
     offsets.reserve(count);
     for (std::size_t i = 0; i < count; ++i) {
         offsets.push_back(encode(entries[i]));
     }
-    // An empty list is left out: it costs nothing on the wire.
+    // An empty list is omitted and takes no bytes on the wire.
     return offsets.empty() ? flatbuffers::Offset<flatbuffers::Vector<EntryOffset>>() : builder.CreateVector(offsets);
 }
 
@@ -112,7 +112,7 @@
     return {begin, begin + builder.GetSize()};
 }
 
-/** Reads fields against their bounds and remembers the first fault. */
+/** Reads fields, checks their bounds and records the first fault. */
 class Reader
 {
 public:
@@ -163,15 +163,15 @@
         return static_cast<Enum>(value);
     }
 
-    /** Each entry of a list that may be absent, through `read`. */
+    /** Reads each entry of a list, which may be absent, with `read`. */
     template <class Entry, class Read>
-    auto list(const flatbuffers::Vector<Entry> *entries, std::size_t most, Read read)
+    auto list(const flatbuffers::Vector<Entry> *entries, std::size_t maxEntries, Read read)
     {
         std::vector<decltype(read(entries->Get(0)))> values;
         if (entries == nullptr) {
             return values;
         }
-        if (entries->size() > most) {
+        if (entries->size() > maxEntries) {
             fail(PermitDecodeError::TooManyEntries);
             return values;
         }
@@ -268,7 +268,7 @@
     return verifier.VerifyBuffer<Root>(nullptr) ? flatbuffers::GetRoot<Root>(data) : nullptr;
 }
 
-/** FlatBuffers reads in place; a payload inside a frame has no alignment of its own. */
+/** A copy that is aligned for FlatBuffers, which reads in place; a payload inside a frame may be unaligned. */
 std::vector<std::byte> aligned(std::span<const std::byte> bytes)
 {
     return {bytes.begin(), bytes.end()};
--- a/src/arbiter/permitcodec_test.cpp
+++ b/src/arbiter/permitcodec_test.cpp
@@ -33,9 +33,9 @@
 }
 
 template <class Make>
-auto anyList(std::size_t most, Make make)
+auto anyList(std::size_t maxSize, Make make)
 {
-    std::vector<decltype(make())> list(*rc::gen::inRange<std::size_t>(0, most + 1));
+    std::vector<decltype(make())> list(*rc::gen::inRange<std::size_t>(0, maxSize + 1));
     std::generate(list.begin(), list.end(), make);
     return list;
 }
@@ -137,7 +137,7 @@
 
 TEST_CASE("permit messages survive the way over the wire")
 {
-    // Equal encodings stand for equal values: every field is encoded.
+    // Comparing encodings compares values, since every field is encoded.
     rc::prop("requests", [] {
         const std::vector<std::byte> bytes = encodePermitRequests(anyRequests());
         const Result<PermitRequests, PermitDecodeError> decoded = decodePermitRequests(bytes);
@@ -203,7 +203,7 @@
     });
 }
 
-TEST_CASE("values out of their bounds are refused by type")
+TEST_CASE("values out of their bounds are refused with a typed error")
 {
     PermitRequests valid;
     valid.shard = ShardId("model");
@@ -239,7 +239,7 @@
 
 TEST_CASE("bytes a request on the link", "[.measure]")
 {
-    // One request costs a ticket, a grant and a release, each in a batch of `size`; names as in production.
+    // One request takes a ticket, a grant and a release, each in a batch of `size`; names are as long as in production.
     for (const std::size_t digests : {0, 8, 32}) {
         for (const std::size_t size : {1, 10, 100}) {
             PermitRequests tickets;
