--- a/src/duties/dutynote.cpp
+++ b/src/duties/dutynote.cpp
@@ -45,7 +45,7 @@
 
 } // namespace
 
-std::string formatDutyNote(const DutyNote &note)
+std::string formatDutyState(const DutyState &note)
 {
     json::array engines;
     for (const EngineGoal &goal : note.engines) {
@@ -54,18 +54,18 @@
     return json::serialize(json::object{{"usage", note.usage}, {"engines", std::move(engines)}});
 }
 
-DutyNote parseDutyNote(std::string_view text)
+DutyState parseDutyState(std::string_view text)
 {
     const Result<json::value, DocumentFaults> document = parseDocument(text);
     if (!document) {
         return {};
     }
-    DutyNote note;
+    DutyState note;
     DocumentFaults faults;
     JsonReader reader(document.value(), "", faults);
     reader.text("usage", note.usage, longestUsage);
     reader.objects("engines", mostGoals, [&note](JsonReader &entry) { note.engines.push_back(readGoal(entry)); });
-    return faults.empty() ? note : DutyNote();
+    return faults.empty() ? note : DutyState();
 }
 
 } // namespace Rhubarbwind
--- a/src/duties/dutynote.h
+++ b/src/duties/dutynote.h
@@ -12,15 +12,15 @@
 namespace Rhubarbwind
 {
 
-struct DutyNote
+struct DutyState
 {
     std::string usage; ///< as UsageReports writes and reads it; empty: none
     std::vector<EngineGoal> engines;
-    friend bool operator==(const DutyNote &, const DutyNote &) = default;
+    friend bool operator==(const DutyState &, const DutyState &) = default;
 };
 
-std::string formatDutyNote(const DutyNote &note);
+std::string formatDutyState(const DutyState &note);
 /** A text that is no note is an empty one: what nobody can know is left out, goals are fixed anew. */
-DutyNote parseDutyNote(std::string_view text);
+DutyState parseDutyState(std::string_view text);
 
 } // namespace Rhubarbwind
--- a/src/duties/dutysearch_test.cpp
+++ b/src/duties/dutysearch_test.cpp
@@ -61,7 +61,7 @@
 
 struct Host
 {
-    LeaseKeeper keeper;
+    LeaseManager keeper;
     UsageReports reports;
     std::optional<LeaseFlight> flight;
     bool isSending = false;
@@ -106,7 +106,7 @@
         lease.pollEvery = leaseTime / 3;
         lease.retryFirst = 0ms;
         lease.numbersByVersion = !m_flaws.numbersCounted;
-        Host host{LeaseKeeper(lease), UsageReports(reportOptions()), std::nullopt, false, {}, {}};
+        Host host{LeaseManager(lease), UsageReports(reportOptions()), std::nullopt, false, {}, {}};
         host.keeper.setWanted(true, true);
         return host;
     }
@@ -154,7 +154,7 @@
         }
         const LeaseView view = host.keeper.view(clockOf(host));
         if (view.held) {
-            host.reports.hold(view.fencing, host.keeper.heldNote(), nowMs());
+            host.reports.onLeaseHeld(view.fencing, host.keeper.heldPayload(), nowMs());
             while (const std::optional<std::uint64_t> window = host.reports.toFix(nowMs())) {
                 // Any two reports that were made apart differ.
                 host.reports.fix({*window, {{"customer", ++m_counts}}});
@@ -162,15 +162,15 @@
                     send(number, view, {*window, {{"customer", m_counts}}});
                 }
             }
-            if (const std::optional<std::string> note = host.reports.wantedNote()) {
-                host.keeper.setNote(*note);
+            if (const std::optional<std::string> note = host.reports.wantedState()) {
+                host.keeper.setPayload(*note);
             }
             const std::optional<UsageReport> report = host.reports.toSend(m_now);
             if (report && !host.isSending && view.remaining >= callBound) {
                 send(number, view, *report);
             }
         } else {
-            host.reports.lose();
+            host.reports.onLeaseLost();
         }
         if (!host.flight) {
             if (const std::optional<LeaseCall> call = host.keeper.nextCall(clockOf(host))) {
--- a/src/duties/dutysession.cpp
+++ b/src/duties/dutysession.cpp
@@ -19,15 +19,15 @@
     lease.renewEvery = options.lease / 3;
     lease.pollEvery = options.lease / 3;
     lease.retryFirst = 100ms;
-    lease.retryMost = 1s;
+    lease.retryMax = 1s;
     lease.numbersByVersion = true;
     lease.isFirstStart = options.isFirstStart;
     return lease;
 }
 
-std::string_view nameOf(LeftOut why)
+std::string_view nameOf(SkipReason why)
 {
-    return why == LeftOut::NoNote ? "nobody knows whether it was sent" : "too late to arrive in time";
+    return why == SkipReason::NoState ? "nobody knows whether it was sent" : "too late to arrive in time";
 }
 
 } // namespace
@@ -53,9 +53,9 @@
 }
 
 template <Clock ClockType>
-void DutySession<ClockType>::heard(const SharedUsage &usage)
+void DutySession<ClockType>::receive(const SharedUsage &usage)
 {
-    m_book.heard(usage);
+    m_book.receive(usage);
 }
 
 template <Clock ClockType>
@@ -150,15 +150,15 @@
         m_number = number;
         // Held again under the same number, after an outage of the store: nobody else has ordered anything.
         if (number != 0 && number != std::exchange(m_lastNumber, number)) {
-            m_orders.begin(parseDutyNote(m_keeper.heldNote()).engines);
+            m_orders.begin(parseDutyState(m_keeper.heldPayload()).engines);
         }
     }
     if (number == 0) {
-        m_reports.lose();
+        m_reports.onLeaseLost();
     } else {
-        m_reports.hold(number, parseDutyNote(m_keeper.heldNote()).usage, m_ports.trueTimeMs());
+        m_reports.onLeaseHeld(number, parseDutyState(m_keeper.heldPayload()).usage, m_ports.trueTimeMs());
     }
-    for (const auto &[window, why] : m_reports.takeLeftOut()) {
+    for (const auto &[window, why] : m_reports.takeSkipped()) {
         m_ports.tell("usage-left-out", LogFields().number("window", static_cast<std::int64_t>(window)).text("why", nameOf(why)));
     }
 }
@@ -187,7 +187,7 @@
         }
         LogFields fields;
         fields.number("window", static_cast<std::int64_t>(*window)).number("customers", static_cast<std::int64_t>(report.counts.size()));
-        fields.number("requests", begun).number("hosts", static_cast<std::int64_t>(m_book.tellers(*window)));
+        fields.number("requests", begun).number("hosts", static_cast<std::int64_t>(m_book.reporters(*window)));
         m_ports.tell("usage-fixed", fields);
         m_reports.fix(std::move(report));
     }
@@ -204,10 +204,10 @@
             m_ports.tell("engine-goal", fields.number("domains", static_cast<std::int64_t>(goal.domains.size())));
         }
     }
-    const DutyNote acknowledged = parseDutyNote(m_keeper.heldNote());
-    const std::optional<std::string> usage = m_options.reportsUsage ? m_reports.wantedNote() : std::nullopt;
+    const DutyState acknowledged = parseDutyState(m_keeper.heldPayload());
+    const std::optional<std::string> usage = m_options.reportsUsage ? m_reports.wantedState() : std::nullopt;
     if (usage || m_orders.goals() != acknowledged.engines) {
-        m_keeper.setNote(formatDutyNote({usage.value_or(acknowledged.usage), m_orders.goals()}));
+        m_keeper.setPayload(formatDutyState({usage.value_or(acknowledged.usage), m_orders.goals()}));
     }
 }
 
@@ -254,7 +254,7 @@
 void DutySession<ClockType>::sendOrder()
 {
     // Goals that are not in the note yet may be fixed otherwise by the next holder.
-    if (!mayCall() || m_orders.goals().empty() || parseDutyNote(m_keeper.heldNote()).engines != m_orders.goals()) {
+    if (!mayCall() || m_orders.goals().empty() || parseDutyState(m_keeper.heldPayload()).engines != m_orders.goals()) {
         return;
     }
     const std::optional<EngineOrder> order = m_orders.next(m_ports.engines(), ClockType::now());
--- a/src/duties/dutysession.h
+++ b/src/duties/dutysession.h
@@ -64,7 +64,7 @@
 
     /** @param wanted this host holds the lease, or is to take it when it is free */
     void setWanted(bool wanted);
-    void heard(const SharedUsage &usage);
+    void receive(const SharedUsage &usage);
     void tick();
     void stop();
 
@@ -98,8 +98,8 @@
     DutyCodec m_codec;
     DutyOptions m_options;
     DutyPorts m_ports;
-    LeaseKeeper m_keeper;
-    UsageBook m_book;
+    LeaseManager m_keeper;
+    UsageTotals m_book;
     UsageReports m_reports;
     EngineOrders m_orders;
     Random m_random;
--- a/src/duties/engineorders.cpp
+++ b/src/duties/engineorders.cpp
@@ -45,7 +45,7 @@
         if (seen.engines != goal) {
             seen = {goal, now};
         }
-        if (goal.domains.size() >= 2 && now - seen.since >= m_options.calm) {
+        if (goal.domains.size() >= 2 && now - seen.since >= m_options.stableTime) {
             goal.eachDomain = eachDomain(service, goal);
             m_goals.push_back(std::move(goal));
         }
@@ -58,7 +58,7 @@
     const std::uint32_t domains = static_cast<std::uint32_t>(goal.domains.size());
     const std::uint32_t spare = (goal.need + domains - 2) / (domains - 1);
     const double affordable = m_options.spendShare * goal.need / domains / std::max(service.reclaimablePrice, 0.001);
-    return std::min(service.most, std::max(spare, static_cast<std::uint32_t>(std::min<double>(affordable, service.most))));
+    return std::min(service.maxPerDomain, std::max(spare, static_cast<std::uint32_t>(std::min<double>(affordable, service.maxPerDomain))));
 }
 
 const ScaledService *EngineOrders::scaling(const ShardId &service) const
@@ -93,13 +93,13 @@
 std::optional<EngineOrder> EngineOrders::nextOf(const EngineGoal &goal, const EngineCount &count, std::uint32_t ready, TimePoint now) const
 {
     const ScaledService *service = scaling(goal.service);
-    if (service == nullptr || service->reclaimablePrice >= 1 || service->most < service->least) {
+    if (service == nullptr || service->reclaimablePrice >= 1 || service->maxPerDomain < service->minPerDomain) {
         return std::nullopt;
     }
     const Ordered others = ordered({goal.service, count.domain, false});
     // Those that boot are not listed yet.
     const std::uint32_t lasting = std::max(count.lasting, others.accepted.value_or(0)) + count.leaving;
-    const std::uint32_t room = service->most - std::min(service->most, lasting);
+    const std::uint32_t room = service->maxPerDomain - std::min(service->maxPerDomain, lasting);
     const EngineOrder cheap{goal.service, count.domain, true, std::min(goal.eachDomain, room)};
     const bool hasCheap = cheap.count > 0 && count.reclaimable >= static_cast<std::uint32_t>(cheap.count * m_options.readyShare);
     if (cheap.count > 0) {
@@ -111,13 +111,13 @@
     const bool isSpare = ready - count.lasting >= goal.need;
     if (hasCheap || isSpare) {
         // Never below the configuration's own bound.
-        const std::uint32_t floor = service->least - std::min(service->least, count.reclaimable);
+        const std::uint32_t floor = service->minPerDomain - std::min(service->minPerDomain, count.reclaimable);
         return count.lasting > floor ? due({goal.service, count.domain, false, floor}, count.lasting, service->boot, now) : std::nullopt;
     }
     // Failure: a domain's reclaimable engines go, and no others are to be had there. What the service then lacks comes from lasting ones.
     const std::uint32_t missing = goal.need - std::min(goal.need, ready);
     const bool isShort = ordered({goal.service, count.domain, true}).noneThere && missing > 0;
-    const std::uint32_t bound = service->most - std::min(service->most, count.reclaimable);
+    const std::uint32_t bound = service->maxPerDomain - std::min(service->maxPerDomain, count.reclaimable);
     const std::uint32_t substitute = std::min({goal.eachDomain, count.lasting + missing, bound});
     const bool isOrdered = others.accepted && *others.accepted >= substitute;
     return isShort && !isOrdered ? due({goal.service, count.domain, false, substitute}, count.lasting, service->boot, now) : std::nullopt;
@@ -137,7 +137,7 @@
 void EngineOrders::answered(const EngineOrder &order, OrderAnswer answer, TimePoint now)
 {
     Ordered &known = m_ordered[{order.service, order.domain, order.isReclaimable}];
-    known.noneThere = answer == OrderAnswer::NoneThere;
+    known.noneThere = answer == OrderAnswer::NoneAvailable;
     if (answer == OrderAnswer::Accepted) {
         known.accepted = order.count;
         known.acceptedAt = now;
--- a/src/duties/engineorders.h
+++ b/src/duties/engineorders.h
@@ -35,8 +35,8 @@
 struct ScaledService
 {
     ShardId service;
-    std::uint32_t least = 0; ///< engines of both kinds in a domain
-    std::uint32_t most = 0;
+    std::uint32_t minPerDomain = 0; ///< engines of both kinds in a domain
+    std::uint32_t maxPerDomain = 0;
     Duration boot = 10s; ///< from an order until new engines serve
     double reclaimablePrice = 1; ///< of another engine's
     friend bool operator==(const ScaledService &, const ScaledService &) = default;
@@ -63,7 +63,7 @@
 
 enum class OrderAnswer : std::uint8_t {
     Accepted,
-    NoneThere, ///< none of that kind are to be had in the domain now
+    NoneAvailable, ///< none of that kind are to be had in the domain now
     Failed, ///< refused, or without an answer
 };
 
@@ -80,7 +80,7 @@
 struct EngineOrderOptions
 {
     double spendShare = 0.45; ///< of the price of the engines that there were
-    Duration calm = 2s; ///< in which a service's engines stay the same before its goal is fixed
+    Duration stableTime = 2s; ///< in which a service's engines stay the same before its goal is fixed
     double readyShare = 0.9; ///< of the reclaimable engines ordered; then the others go
     Duration repeatAfter = 3s; ///< of an order that was not accepted, or whose engines have not come
     Duration settle = 2s; ///< beyond the boot, until engines that have not come are missed
--- a/src/duties/engineorders_test.cpp
+++ b/src/duties/engineorders_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr Duration bootTime = 4s;
 constexpr Duration drainTime = 3s;
-constexpr std::uint32_t most = 60;
+constexpr std::uint32_t maxPerDomain = 60;
 constexpr std::uint32_t atStart = 30;
 constexpr std::uint32_t need = 90;
 constexpr std::uint32_t wantedEach = 60; ///< for 0.44 of the price
@@ -51,11 +51,11 @@
     {
         ++orders;
         if (order.isReclaimable && now < noneUntil[order.domain]) {
-            return OrderAnswer::NoneThere;
+            return OrderAnswer::NoneAvailable;
         }
         Pool &pool = pools[order.domain][order.isReclaimable];
         const Pool &other = pools[order.domain][!order.isReclaimable];
-        if (order.count + other.ready + other.booting.size() > most) {
+        if (order.count + other.ready + other.booting.size() > maxPerDomain) {
             ++refused;
             return OrderAnswer::Failed;
         }
@@ -122,7 +122,7 @@
 
 ScaledService scaling()
 {
-    return {service, 1, most, bootTime, 0.22};
+    return {service, 1, maxPerDomain, bootTime, 0.22};
 }
 
 /** As a holder does that sees the same for some seconds. */
@@ -151,7 +151,7 @@
             m_platform.pass(now);
             fewest = std::min(fewest, m_platform.ready(false) + m_platform.ready(true));
             if (m_isHarmed && m_random.below(100) == 0) {
-                m_orders.begin(parseDutyNote(formatDutyNote({"", m_orders.goals()})).engines);
+                m_orders.begin(parseDutyState(formatDutyState({"", m_orders.goals()})).engines);
             }
             if (const std::optional<EngineOrder> order = m_orders.next(m_platform.counts(), now)) {
                 const OrderAnswer answer = m_platform.order(*order, now);
@@ -259,13 +259,13 @@
     struct Row
     {
         double price;
-        std::uint32_t most;
+        std::uint32_t maxPerDomain;
         std::uint32_t each;
     };
     // Ninety engines in three domains: 45 each are enough for two domains.
     for (const Row &row : {Row{0.9, 60, 45}, Row{0.25, 60, 54}, Row{0.22, 60, 60}, Row{0, 100, 100}, Row{0.9, 40, 40}}) {
         EngineOrders orders;
-        orders.setServices({{service, 1, row.most, bootTime, row.price}});
+        orders.setServices({{service, 1, row.maxPerDomain, bootTime, row.price}});
         Platform platform;
         fixGoals(orders, platform);
         CHECK(orders.goals().front().eachDomain == row.each);
@@ -295,8 +295,8 @@
 
 TEST_CASE("what a holder leaves to the next one reads back, and anything else is nothing", "[engines]")
 {
-    const DutyNote note{R"({"through":7})", {{service, need, wantedEach, domains}}};
-    CHECK(parseDutyNote(formatDutyNote(note)) == note);
-    CHECK(parseDutyNote("") == DutyNote());
-    CHECK(parseDutyNote(R"({"usage":7})") == DutyNote());
+    const DutyState note{R"({"through":7})", {{service, need, wantedEach, domains}}};
+    CHECK(parseDutyState(formatDutyState(note)) == note);
+    CHECK(parseDutyState("") == DutyState());
+    CHECK(parseDutyState(R"({"usage":7})") == DutyState());
 }
--- a/src/duties/usagebook.cpp
+++ b/src/duties/usagebook.cpp
@@ -5,13 +5,13 @@
 namespace Rhubarbwind
 {
 
-void UsageBook::heard(const SharedUsage &usage)
+void UsageTotals::receive(const SharedUsage &usage)
 {
-    if (m_windows.size() >= windowsKept && usage.window < m_windows.begin()->first) {
+    if (m_windows.size() >= maxWindows && usage.window < m_windows.begin()->first) {
         return;
     }
     std::map<std::uint64_t, Counts> &lives = m_windows[usage.window];
-    if (m_entries >= mostEntries && !lives.contains(usage.life)) {
+    if (m_entries >= maxEntries && !lives.contains(usage.life)) {
         return;
     }
     Counts &counts = lives[usage.life];
@@ -21,7 +21,7 @@
         known = std::max(known, count.begun);
     }
     m_entries += counts.size() - before;
-    while (m_windows.size() > windowsKept) {
+    while (m_windows.size() > maxWindows) {
         for (const auto &[life, gone] : m_windows.begin()->second) {
             m_entries -= gone.size();
         }
@@ -29,7 +29,7 @@
     }
 }
 
-std::map<std::uint64_t, std::uint64_t> UsageBook::totals(std::uint64_t window) const
+std::map<std::uint64_t, std::uint64_t> UsageTotals::totals(std::uint64_t window) const
 {
     std::map<std::uint64_t, std::uint64_t> sums;
     const auto found = m_windows.find(window);
@@ -44,7 +44,7 @@
     return sums;
 }
 
-std::size_t UsageBook::tellers(std::uint64_t window) const
+std::size_t UsageTotals::reporters(std::uint64_t window) const
 {
     const auto found = m_windows.find(window);
     return found == m_windows.end() ? 0 : found->second.size();
--- a/src/duties/usagebook.h
+++ b/src/duties/usagebook.h
@@ -5,7 +5,7 @@
 // Tellings are merged by the maximum for each host's life, window and customer, so lost, doubled and old ones do no harm, and a host
 // that dies loses at most what it counted since it last told.
 //
-// Bounds: windowsKept windows, mostEntries counts; beyond it tellings of hosts not heard before are dropped.
+// Bounds: maxWindows windows, maxEntries counts; beyond it tellings of hosts not heard before are dropped.
 
 #include "fleet/fleetmessage.h"
 
@@ -15,17 +15,17 @@
 namespace Rhubarbwind
 {
 
-class UsageBook
+class UsageTotals
 {
 public:
-    void heard(const SharedUsage &usage);
+    void receive(const SharedUsage &usage);
     /** Requests begun in a window by customer's key. */
     std::map<std::uint64_t, std::uint64_t> totals(std::uint64_t window) const;
     /** Hosts' lives that told of a window. */
-    std::size_t tellers(std::uint64_t window) const;
+    std::size_t reporters(std::uint64_t window) const;
 
-    static constexpr std::size_t windowsKept = 8;
-    static constexpr std::size_t mostEntries = 400'000;
+    static constexpr std::size_t maxWindows = 8;
+    static constexpr std::size_t maxEntries = 400'000;
 
 private:
     using Counts = std::map<std::uint64_t, std::uint32_t>; ///< by customer
--- a/src/duties/usagecounter.cpp
+++ b/src/duties/usagecounter.cpp
@@ -13,18 +13,18 @@
 void UsageCounter::began(const CustomerId &customer, std::uint64_t window)
 {
     std::map<std::uint64_t, std::uint32_t> &counts = m_windows[window];
-    if (m_windows.size() > windowsKept) {
+    if (m_windows.size() > maxWindows) {
         m_windows.erase(m_windows.begin());
     }
     const std::uint64_t key = customerKey(customer);
-    if (!m_windows.contains(window) || (counts.size() >= mostCustomers && !counts.contains(key))) {
+    if (!m_windows.contains(window) || (counts.size() >= maxCustomers && !counts.contains(key))) {
         ++m_uncounted;
         return;
     }
     ++counts[key];
 }
 
-std::vector<SharedUsage> UsageCounter::tellings(std::uint64_t fromWindow) const
+std::vector<SharedUsage> UsageCounter::updates(std::uint64_t fromWindow) const
 {
     std::vector<SharedUsage> parts;
     for (auto window = m_windows.lower_bound(fromWindow); window != m_windows.end(); ++window) {
--- a/src/duties/usagecounter.h
+++ b/src/duties/usagecounter.h
@@ -5,7 +5,7 @@
 // A request counts once, in the window in which its first bytes came, whatever becomes of it: that is what the platform is owed. Counts of
 // a window only grow, so they may be told any number of times (usagebook.h).
 //
-// Bounds: windowsKept windows, mostCustomers in each; what is beyond is not counted, and said so by uncounted().
+// Bounds: maxWindows windows, maxCustomers in each; what is beyond is not counted, and said so by uncounted().
 
 #include "base/ids.h"
 #include "fleet/fleetmessage.h"
@@ -35,14 +35,14 @@
 
     void began(const CustomerId &customer, std::uint64_t window);
     /** All that is known from a window on, in parts that each fit one datagram. */
-    std::vector<SharedUsage> tellings(std::uint64_t fromWindow) const;
+    std::vector<SharedUsage> updates(std::uint64_t fromWindow) const;
     std::uint64_t uncounted() const
     {
         return m_uncounted;
     }
 
-    static constexpr std::size_t windowsKept = 4;
-    static constexpr std::size_t mostCustomers = 20'000;
+    static constexpr std::size_t maxWindows = 4;
+    static constexpr std::size_t maxCustomers = 20'000;
 
 private:
     std::uint64_t m_life;
--- a/src/duties/usagereports.cpp
+++ b/src/duties/usagereports.cpp
@@ -47,7 +47,7 @@
 
 } // namespace
 
-std::string formatNote(const UsageNote &note)
+std::string formatUsageState(const UsageState &note)
 {
     json::array fixed;
     for (const UsageReport &report : note.fixed) {
@@ -56,7 +56,7 @@
     return json::serialize(json::object{{"era", note.era}, {"through", note.through}, {"fixed", std::move(fixed)}});
 }
 
-std::optional<UsageNote> parseNote(std::string_view text)
+std::optional<UsageState> parseUsageState(std::string_view text)
 {
     json::error_code error;
     const json::value document = json::parse({text.data(), text.size()}, error);
@@ -67,7 +67,7 @@
     if (era == nullptr || through == nullptr || fixed == nullptr || !fixed->is_array()) {
         return std::nullopt;
     }
-    UsageNote note{era->to_number<std::uint64_t>(error), 0, {}};
+    UsageState note{era->to_number<std::uint64_t>(error), 0, {}};
     if (!error) {
         note.through = through->to_number<std::uint64_t>(error);
     }
@@ -81,10 +81,10 @@
     return error ? std::nullopt : std::optional(std::move(note));
 }
 
-void UsageReports::hold(std::uint64_t number, const std::string &acknowledged, std::int64_t nowMs)
+void UsageReports::onLeaseHeld(std::uint64_t number, const std::string &acknowledged, std::int64_t nowMs)
 {
-    const std::optional<UsageNote> note = parseNote(acknowledged);
-    m_acknowledged = note.value_or(UsageNote());
+    const std::optional<UsageState> note = parseUsageState(acknowledged);
+    m_acknowledged = note.value_or(UsageState());
     if (number == m_number) {
         return;
     }
@@ -95,11 +95,11 @@
         // that it can have reported had ended before it lost the lease, and that was before this one was taken. Nor is what an older note has
         // as fixed believed: it may be a write of the era before that was carried out late, over this era's.
         m_wanted = {eraOf(number), windowAt(nowMs, m_options.window), {}};
-        leaveOut(m_wanted.through, LeftOut::NoNote);
+        leaveOut(m_wanted.through, SkipReason::NoState);
     }
 }
 
-void UsageReports::lose()
+void UsageReports::onLeaseLost()
 {
     m_number = 0;
 }
@@ -112,7 +112,7 @@
     // After the last moment at which a report could still arrive in time.
     while (nowMs > endOf(m_wanted.through + 1) + toMilliseconds(m_options.due)) {
         ++m_wanted.through;
-        leaveOut(m_wanted.through, LeftOut::TooLate);
+        leaveOut(m_wanted.through, SkipReason::TooLate);
     }
     // Long past its time a report is not sent again; what it fixed holds on by `through`.
     std::erase_if(m_wanted.fixed, [&](const UsageReport &report) { return nowMs > endOf(report.window) + 2 * toMilliseconds(m_options.due); });
@@ -148,7 +148,7 @@
     m_retryAt = now + m_options.retry;
 }
 
-std::vector<std::pair<std::uint64_t, LeftOut>> UsageReports::takeLeftOut()
+std::vector<std::pair<std::uint64_t, SkipReason>> UsageReports::takeSkipped()
 {
     return std::exchange(m_leftOut, {});
 }
@@ -158,7 +158,7 @@
     return static_cast<std::int64_t>(window + 1) * toMilliseconds(m_options.window);
 }
 
-void UsageReports::leaveOut(std::uint64_t window, LeftOut why)
+void UsageReports::leaveOut(std::uint64_t window, SkipReason why)
 {
     constexpr std::size_t mostTold = 16; // after an outage of hours the first few say enough
     if (m_leftOut.size() < mostTold) {
--- a/src/duties/usagereports.h
+++ b/src/duties/usagereports.h
@@ -10,7 +10,7 @@
 // What nobody can know is left out: without a note (the lease was new, gone, or the store came back from a copy that had none or an older
 // one), all windows up to the one in which the lease was taken; and windows that are older than they may be when they arrive.
 //
-// Use: hold() while the lease is held, with what the platform acknowledged; next() says what to do; sent() ends a send. Cost: one write of
+// Use: onLeaseHeld() while the lease is held, with what the platform acknowledged; next() says what to do; sent() ends a send. Cost: one write of
 // the lease a window, that would have been a renewal; its size is that of one report or two.
 
 #include "base/time.h"
@@ -31,17 +31,17 @@
     friend bool operator==(const UsageReport &, const UsageReport &) = default;
 };
 
-struct UsageNote
+struct UsageState
 {
     std::uint64_t era = 0; ///< of the store in which it was written
     std::uint64_t through = 0; ///< last window that is done with: fixed at some time, or left out
     std::vector<UsageReport> fixed; ///< not known to have arrived
-    friend bool operator==(const UsageNote &, const UsageNote &) = default;
+    friend bool operator==(const UsageState &, const UsageState &) = default;
 };
 
-std::string formatNote(const UsageNote &note);
+std::string formatUsageState(const UsageState &note);
 /** @return none for a text that is no note */
-std::optional<UsageNote> parseNote(std::string_view text);
+std::optional<UsageState> parseUsageState(std::string_view text);
 
 struct UsageReportOptions
 {
@@ -52,8 +52,8 @@
 };
 
 /** A window that is left out, and why. */
-enum class LeftOut : std::uint8_t {
-    NoNote, ///< nobody knows whether it was sent
+enum class SkipReason : std::uint8_t {
+    NoState, ///< nobody knows whether it was sent
     TooLate,
 };
 
@@ -66,36 +66,36 @@
     }
 
     /** The lease is held under this number. @param acknowledged the note as it stands at the platform  @param nowMs true time */
-    void hold(std::uint64_t number, const std::string &acknowledged, std::int64_t nowMs);
+    void onLeaseHeld(std::uint64_t number, const std::string &acknowledged, std::int64_t nowMs);
     /** The lease is not held: nothing is fixed or sent. */
-    void lose();
+    void onLeaseLost();
 
     /** A window that ended and has settled: give its counts to fix(). */
     std::optional<std::uint64_t> toFix(std::int64_t nowMs);
     void fix(UsageReport report);
     /** What the lease's note is to be; none while nothing was fixed since. A report that has arrived leaves it with the next one. */
-    std::optional<std::string> wantedNote() const
+    std::optional<std::string> wantedState() const
     {
         const bool isSame = m_wanted.through == m_acknowledged.through && m_wanted.era == m_acknowledged.era;
-        return isSame ? std::nullopt : std::optional(formatNote(m_wanted));
+        return isSame ? std::nullopt : std::optional(formatUsageState(m_wanted));
     }
     /** A report that the platform has as fixed, due now. */
     std::optional<UsageReport> toSend(TimePoint now) const;
     void sent(std::uint64_t window, bool accepted, TimePoint now);
 
     /** Windows left out since the last call. */
-    std::vector<std::pair<std::uint64_t, LeftOut>> takeLeftOut();
+    std::vector<std::pair<std::uint64_t, SkipReason>> takeSkipped();
 
 private:
     std::int64_t endOf(std::uint64_t window) const;
-    void leaveOut(std::uint64_t window, LeftOut why);
+    void leaveOut(std::uint64_t window, SkipReason why);
 
     UsageReportOptions m_options;
     std::uint64_t m_number = 0; ///< zero: not held
-    UsageNote m_acknowledged;
-    UsageNote m_wanted;
+    UsageState m_acknowledged;
+    UsageState m_wanted;
     TimePoint m_retryAt{};
-    std::vector<std::pair<std::uint64_t, LeftOut>> m_leftOut;
+    std::vector<std::pair<std::uint64_t, SkipReason>> m_leftOut;
 };
 
 } // namespace Rhubarbwind
--- a/src/gateway/dutysession_test.cpp
+++ b/src/gateway/dutysession_test.cpp
@@ -55,7 +55,7 @@
     HttpCall call;
     call.method = boost::beast::http::verb::post;
     call.target = "/report";
-    call.body = std::to_string(holder.number) + " " + formatNote({0, 0, {report}});
+    call.body = std::to_string(holder.number) + " " + formatUsageState({0, 0, {report}});
     return call;
 }
 
@@ -148,7 +148,7 @@
             for (const std::unique_ptr<Host> &host : hosts) {
                 // What was counted differs from host to host and from moment to moment.
                 const std::uint64_t window = static_cast<std::uint64_t>(timeMs() / 1000);
-                host->session->heard({1, window, {{customerKey(CustomerId(customer)), ++m_counted}}});
+                host->session->receive({1, window, {{customerKey(CustomerId(customer)), ++m_counted}}});
                 host->session->tick();
             }
         }
@@ -217,7 +217,7 @@
 {
     std::set<std::uint64_t> windows;
     for (const std::string &report : reports) {
-        windows.insert(parseNote(report)->fixed.front().window);
+        windows.insert(parseUsageState(report)->fixed.front().window);
     }
     return windows;
 }
--- a/src/gateway/mirrorhistory_test.cpp
+++ b/src/gateway/mirrorhistory_test.cpp
@@ -149,7 +149,7 @@
         MirrorOptions options;
         options.kind = "things";
         options.startsWatching = false;
-        options.askPause = 0ms;
+        options.requestSpacing = 0ms;
         MirrorHandlers handlers;
         handlers.onListed = [this](const std::vector<MirroredObject> &listed) {
             state.clear();
@@ -259,15 +259,15 @@
             }
             case 3: // a batch arrives; others never do, or twice
                 if (!batches.empty()) {
-                    static_cast<void>(follower.mirror->take(batches[*rc::gen::inRange<std::size_t>(0, batches.size())]));
+                    static_cast<void>(follower.mirror->applyChanges(batches[*rc::gen::inRange<std::size_t>(0, batches.size())]));
                 }
                 break;
             case 4:
-                static_cast<void>(follower.mirror->take(truth.between(firstRevision, truth.revision())));
+                static_cast<void>(follower.mirror->applyChanges(truth.between(firstRevision, truth.revision())));
                 break;
             case 5: // a question; where the history is gone, a listing is under way
                 follower.dropsHistory = *rc::gen::arbitrary<bool>();
-                follower.mirror->ask();
+                follower.mirror->requestChanges();
                 follower.answerNext();
                 break;
             default:
@@ -276,7 +276,7 @@
             RC_ASSERT(!follower.hasGoneBack());
         }
         follower.dropsHistory = false;
-        follower.mirror->ask();
+        follower.mirror->requestChanges();
         for (int i = 0; i < 10 && follower.state != truth.now(); ++i) {
             follower.answerNext();
         }
--- a/src/placement/lease.cpp
+++ b/src/placement/lease.cpp
@@ -40,7 +40,7 @@
                                                       {"operation", record.operation.text()},
                                                       {"duration_ms", toMilliseconds(record.duration)},
                                                       {"released", record.released},
-                                                      {"note", record.note}});
+                                                      {"note", record.payload}});
 }
 
 Result<LeaseRecord, LeaseError> parseLease(std::string_view text, std::uint64_t lowestFencing)
@@ -60,7 +60,7 @@
     reader.text("operation", operation, longestName, true);
     reader.milliseconds("duration_ms", record.duration, 1ms, longestLease);
     reader.flag("released", record.released);
-    reader.text("note", record.note, longestNote);
+    reader.text("note", record.payload, longestNote);
     if (!faults.empty() || record.fencing < lowestFencing) {
         return LeaseError::Malformed;
     }
@@ -74,24 +74,24 @@
     return "placement/lease/" + domain.text();
 }
 
-LeaseKeeper::LeaseKeeper(const LeaseOptions &options)
+LeaseManager::LeaseManager(const LeaseOptions &options)
     : m_options(options)
 {
 }
 
-void LeaseKeeper::setWanted(bool wanted, bool mayRelease)
+void LeaseManager::setWanted(bool wanted, bool mayRelease)
 {
     m_wanted = wanted;
     m_mayRelease = mayRelease;
 }
 
-void LeaseKeeper::doubt()
+void LeaseManager::invalidate()
 {
     m_validUntil = TimePoint();
     m_needRead = true;
 }
 
-std::optional<LeaseCall> LeaseKeeper::nextCall(TimePoint now)
+std::optional<LeaseCall> LeaseManager::nextCall(TimePoint now)
 {
     if (m_callUnderWay || now < m_retryAt) {
         return std::nullopt;
@@ -104,7 +104,7 @@
     return call;
 }
 
-std::optional<LeaseCall> LeaseKeeper::releaseCall(TimePoint now)
+std::optional<LeaseCall> LeaseManager::releaseCall(TimePoint now)
 {
     if (!isMine() || !m_mayRelease || now >= m_validUntil) {
         return std::nullopt;
@@ -112,10 +112,10 @@
     return write(m_known->record.fencing, true);
 }
 
-std::optional<LeaseCall> LeaseKeeper::wantedCall(TimePoint now)
+std::optional<LeaseCall> LeaseManager::wantedCall(TimePoint now)
 {
     if (!m_needRead && isMine()) {
-        const bool hasNote = now < m_validUntil && m_note != m_known->record.note;
+        const bool hasNote = now < m_validUntil && m_note != m_known->record.payload;
         return now >= m_renewAt || hasNote ? write(m_known->record.fencing, false) : std::optional<LeaseCall>();
     }
     if (!m_needRead && now >= takeOverAt()) {
@@ -125,7 +125,7 @@
     return m_needRead || now >= m_pollAt ? LeaseCall{} : std::optional<LeaseCall>();
 }
 
-void LeaseKeeper::readDone(const StoredLease &lease, TimePoint now)
+void LeaseManager::readDone(const StoredLease &lease, TimePoint now)
 {
     callEnded();
     if (!noticeEra(eraOf(lease.version), now)) {
@@ -153,7 +153,7 @@
     }
 }
 
-void LeaseKeeper::readMissing(TimePoint now, std::uint64_t era)
+void LeaseManager::readMissing(TimePoint now, std::uint64_t era)
 {
     callEnded();
     if (!noticeEra(era, now)) {
@@ -172,13 +172,13 @@
     m_pollAt = now + m_options.pollEvery;
 }
 
-void LeaseKeeper::readFailed(TimePoint now, Random &random)
+void LeaseManager::readFailed(TimePoint now, Random &random)
 {
     callEnded();
     retryLater(now, random);
 }
 
-void LeaseKeeper::writeDone(ObjectVersion version, TimePoint now)
+void LeaseManager::writeDone(ObjectVersion version, TimePoint now)
 {
     callEnded();
     // Written in an era before the one that answers, or after the one that was known when it was sent: it may stand on another lease.
@@ -202,7 +202,7 @@
     becomeHolder(m_known->record.fencing, m_sentAt, now);
 }
 
-void LeaseKeeper::writeFailed(PlatformErrorKind kind, TimePoint now, Random &random)
+void LeaseManager::writeFailed(PlatformErrorKind kind, TimePoint now, Random &random)
 {
     callEnded();
     if (m_written.released) {
@@ -216,7 +216,7 @@
     retryLater(now, random);
 }
 
-LeaseView LeaseKeeper::view(TimePoint now) const
+LeaseView LeaseManager::view(TimePoint now) const
 {
     if (!m_wanted || !isMine() || now >= m_validUntil) {
         return {};
@@ -224,7 +224,7 @@
     return {true, m_validUntil - now, m_heldFencing, m_since};
 }
 
-TimePoint LeaseKeeper::wakeAt() const
+TimePoint LeaseManager::wakeAt() const
 {
     if (m_callUnderWay || !m_wanted) {
         return TimePoint::max();
@@ -233,12 +233,12 @@
         return m_retryAt;
     }
     if (isMine()) {
-        return m_note == m_known->record.note ? std::max(m_retryAt, m_renewAt) : m_retryAt;
+        return m_note == m_known->record.payload ? std::max(m_retryAt, m_renewAt) : m_retryAt;
     }
     return std::max(m_retryAt, std::min(m_pollAt, takeOverAt()));
 }
 
-std::string LeaseKeeper::describe(TimePoint now) const
+std::string LeaseManager::describe(TimePoint now) const
 {
     std::string line = std::string(m_needRead ? "read " : "") + (m_callUnderWay ? "calling " : "") + (m_missing ? "missing " : "");
     line += "retry " + untilText(m_retryAt, now);
@@ -254,26 +254,26 @@
     return line + " poll " + untilText(m_pollAt, now) + (m_known ? " takeover " + untilText(takeOverAt(), now) : "");
 }
 
-std::string LeaseKeeper::agoText(TimePoint time, TimePoint now) const
+std::string LeaseManager::agoText(TimePoint time, TimePoint now) const
 {
     // Beyond the lease's duration nothing depends on it.
     return std::to_string(toMilliseconds(std::min(now - time, m_options.duration)));
 }
 
-bool LeaseKeeper::isMine() const
+bool LeaseManager::isMine() const
 {
     const bool isOfThisEra = !m_options.numbersByVersion || (m_known && eraOf(m_known->record.fencing) == m_era);
     return m_known && m_known->record.holder == m_options.holder && !m_known->record.released && isOfThisEra;
 }
 
-Duration LeaseKeeper::wholeWait(Duration duration) const
+Duration LeaseManager::wholeWait(Duration duration) const
 {
     return fromSeconds(toSeconds(duration) * (1 + m_options.rateMargin));
 }
 
 // Failure: the store comes back from a copy in which the lease was free, or another's, while its holder acts on. Symptom: two holders.
 // Every holder of before has lost its lease a duration after its last renewal, which was before the era began.
-TimePoint LeaseKeeper::takeOverAt() const
+TimePoint LeaseManager::takeOverAt() const
 {
     const TimePoint eraEnds = m_era == 0 ? TimePoint() : m_eraSince + wholeWait(m_options.duration);
     const bool neverWas = m_options.isFirstStart && m_era == 0;
@@ -289,7 +289,7 @@
     return std::max(eraEnds, m_seenAt + wholeWait(m_known->record.duration));
 }
 
-bool LeaseKeeper::noticeEra(std::uint64_t era, TimePoint now)
+bool LeaseManager::noticeEra(std::uint64_t era, TimePoint now)
 {
     if (era > m_era) {
         m_era = era;
@@ -303,43 +303,43 @@
     return era == m_era;
 }
 
-void LeaseKeeper::setNote(std::string note)
+void LeaseManager::setPayload(std::string payload)
 {
-    m_note = std::move(note);
+    m_note = std::move(payload);
 }
 
-const std::string &LeaseKeeper::heldNote() const
+const std::string &LeaseManager::heldPayload() const
 {
     static const std::string none;
-    return m_known ? m_known->record.note : none;
+    return m_known ? m_known->record.payload : none;
 }
 
-LeaseCall LeaseKeeper::write(std::uint64_t fencing, bool released)
+LeaseCall LeaseManager::write(std::uint64_t fencing, bool released)
 {
     const OperationId operation(m_options.holder + "/" + std::to_string(++m_sequence));
-    const std::string note = isMine() ? m_note : heldNote();
-    m_written = {fencing, m_options.holder, m_options.host, operation, m_options.duration, released, note};
+    const std::string payload = isMine() ? m_note : heldPayload();
+    m_written = {fencing, m_options.holder, m_options.host, operation, m_options.duration, released, payload};
     return {LeaseCallKind::Write, m_written, m_known ? WriteCondition::atVersion(m_known->version) : WriteCondition::absent()};
 }
 
-void LeaseKeeper::callEnded()
+void LeaseManager::callEnded()
 {
     m_callUnderWay = false;
 }
 
-void LeaseKeeper::retryLater(TimePoint now, Random &random)
+void LeaseManager::retryLater(TimePoint now, Random &random)
 {
     const double doubled = toSeconds(m_options.retryFirst) * static_cast<double>(1U << std::min(m_failures, maxDoublings));
     ++m_failures;
-    m_retryAt = now + fromSeconds(random.uniform() * std::min(doubled, toSeconds(m_options.retryMost)));
+    m_retryAt = now + fromSeconds(random.uniform() * std::min(doubled, toSeconds(m_options.retryMax)));
 }
 
-void LeaseKeeper::becomeHolder(std::uint64_t fencing, TimePoint since, TimePoint now)
+void LeaseManager::becomeHolder(std::uint64_t fencing, TimePoint since, TimePoint now)
 {
     m_validUntil = since + m_options.duration;
     m_renewAt = since + m_options.renewEvery;
     if (fencing != m_heldFencing) {
-        m_note = m_known->record.note;
+        m_note = m_known->record.payload;
         m_heldFencing = fencing;
         m_since = now;
     }
--- a/src/placement/placement_test.cpp
+++ b/src/placement/placement_test.cpp
@@ -199,7 +199,7 @@
         INFO((lost ? "answer lost, read back" : "answer late"));
         LeaseOptions options;
         options.holder = "p";
-        LeaseKeeper keeper(options);
+        LeaseManager keeper(options);
         keeper.setWanted(true, true);
         Random random(1);
         const TimePoint start(1h);
@@ -222,7 +222,7 @@
 namespace
 {
 
-LeaseKeeper keeperByVersion(const std::string &holder, bool isFirstStart = false)
+LeaseManager keeperByVersion(const std::string &holder, bool isFirstStart = false)
 {
     LeaseOptions options;
     options.holder = holder;
@@ -231,7 +231,7 @@
     options.renewEvery = 1s;
     options.numbersByVersion = true;
     options.isFirstStart = isFirstStart;
-    LeaseKeeper keeper(options);
+    LeaseManager keeper(options);
     keeper.setWanted(true, true);
     return keeper;
 }
@@ -245,7 +245,7 @@
     const TimePoint start(1h);
     Random random(1);
     const bool isFirstStart = GENERATE(false, true);
-    LeaseKeeper keeper = keeperByVersion("a", isFirstStart);
+    LeaseManager keeper = keeperByVersion("a", isFirstStart);
     REQUIRE(keeper.nextCall(start)->kind == LeaseCallKind::Read);
     keeper.readMissing(start);
     const std::optional<LeaseCall> call = keeper.nextCall(start + 1s);
@@ -273,7 +273,7 @@
     // The store comes back from a copy while a renewal is on its way, and the revision that it names is given out again, for another's lease.
     // Its writer would hold what the store has as that of another.
     const TimePoint start(1h);
-    LeaseKeeper keeper = keeperByVersion("a", true);
+    LeaseManager keeper = keeperByVersion("a", true);
     REQUIRE(keeper.nextCall(start));
     keeper.readMissing(start);
     REQUIRE(keeper.nextCall(start)->kind == LeaseCallKind::Write);
@@ -288,31 +288,31 @@
 TEST_CASE("a note goes from holder to holder, and is what the platform acknowledged")
 {
     const TimePoint start(1h);
-    LeaseKeeper first = keeperByVersion("a", true);
+    LeaseManager first = keeperByVersion("a", true);
     REQUIRE(first.nextCall(start));
     first.readMissing(start);
     REQUIRE(first.nextCall(start));
     first.writeDone(5, start);
-    CHECK(first.heldNote().empty());
-    first.setNote("one");
-    CHECK(first.heldNote().empty());
+    CHECK(first.heldPayload().empty());
+    first.setPayload("one");
+    CHECK(first.heldPayload().empty());
     const std::optional<LeaseCall> noted = first.nextCall(start + 10ms);
     REQUIRE(noted);
-    CHECK(noted->record.note == "one");
+    CHECK(noted->record.payload == "one");
     first.writeDone(6, start + 20ms);
-    CHECK(first.heldNote() == "one");
+    CHECK(first.heldPayload() == "one");
     CHECK(first.view(start + 20ms).fencing == 5);
     CHECK_FALSE(first.nextCall(start + 30ms));
 
-    LeaseKeeper second = keeperByVersion("b");
+    LeaseManager second = keeperByVersion("b");
     REQUIRE(second.nextCall(start + 1s));
     second.readDone({6, noted->record}, start + 1s);
     const std::optional<LeaseCall> taken = second.nextCall(start + 5s);
     REQUIRE(taken);
     REQUIRE(taken->kind == LeaseCallKind::Write);
-    CHECK(taken->record.note == "one");
+    CHECK(taken->record.payload == "one");
     second.writeDone(7, start + 5s);
-    CHECK(second.heldNote() == "one");
+    CHECK(second.heldPayload() == "one");
     CHECK(second.view(start + 5s).fencing == 7);
     CHECK(parseLease(formatLease(taken->record), 0).value() == taken->record);
 }
--- a/src/placement/placementowner.h
+++ b/src/placement/placementowner.h
@@ -81,7 +81,7 @@
     std::vector<PlacementCall> nextCalls(const LeaseView &lease, TimePoint now);
     void stateDone(const EndpointId &id, const EndpointPlacement &placement, TimePoint now);
     void stateFailed(const EndpointId &id, TimePoint now);
-    /** True when the outcome casts doubt on the lease: call LeaseKeeper::doubt(). */
+    /** True when the outcome casts doubt on the lease: call LeaseManager::invalidate(). */
     bool orderDone(const EndpointId &id, OrderOutcome outcome, TimePoint now);
 
     /** True when there is anything to look after, so that the lease is worth holding. */
--- a/src/placement/placementsearch_test.cpp
+++ b/src/placement/placementsearch_test.cpp
@@ -201,7 +201,7 @@
 
     bool hasWork(std::size_t owner) const
     {
-        LeaseKeeper keeper = m_keepers[owner];
+        LeaseManager keeper = m_keepers[owner];
         PlacementOwner placement = m_owners[owner];
         return keeper.nextCall(m_now).has_value() || !placement.nextCalls(keeper.view(m_now), m_now).empty();
     }
@@ -240,7 +240,7 @@
         }
     }
 
-    void deliver(LeaseKeeper &keeper, const Flight &flight)
+    void deliver(LeaseManager &keeper, const Flight &flight)
     {
         if (flight.call.kind == LeaseCallKind::Write && flight.conflict) {
             keeper.writeFailed(PlatformErrorKind::Conflict, m_now, m_random);
@@ -259,7 +259,7 @@
         m_orders.erase(m_orders.begin() + static_cast<std::ptrdiff_t>(index));
         if (m_bounds.checks && order.order.fencing < m_newest) {
             if (m_owners[order.owner].orderDone(EndpointId("e"), OrderOutcome::StaleNumber, m_now)) {
-                m_keepers[order.owner].doubt();
+                m_keepers[order.owner].invalidate();
             }
             return;
         }
@@ -289,7 +289,7 @@
     Bounds m_bounds;
     TimePoint m_now{1h};
     Random m_random{1};
-    std::vector<LeaseKeeper> m_keepers;
+    std::vector<LeaseManager> m_keepers;
     std::vector<PlacementOwner> m_owners;
     std::array<std::optional<Flight>, ownerCount> m_flights;
     std::vector<Flight> m_lateWrites;
--- a/src/placement/placementservice.h
+++ b/src/placement/placementservice.h
@@ -3,7 +3,7 @@
 // One host's part in placement: for every failure domain that rendezvous hashing gives to it, hold the domain's lease and
 // bring its endpoints to what the preset wants.
 //
-// What it promises: see LeaseKeeper and PlacementOwner. Orders to endpoints need the lease; the platform being down
+// What it promises: see LeaseManager and PlacementOwner. Orders to endpoints need the lease; the platform being down
 // therefore stops new orders once the lease has run out, and leaves the running placement alone.
 //
 // Use: create with std::make_shared, then setHosts(), setEndpoints() and setRules() whenever they change, in any
@@ -111,7 +111,7 @@
 private:
     struct Duty
     {
-        LeaseKeeper keeper;
+        LeaseManager keeper;
         PlacementOwner owner;
     };
 
@@ -121,7 +121,7 @@
         if (found != m_duties.end()) {
             return found->second;
         }
-        Duty duty{LeaseKeeper(m_options.lease), PlacementOwner(m_options.placement, ClockType::now())};
+        Duty duty{LeaseManager(m_options.lease), PlacementOwner(m_options.placement, ClockType::now())};
         duty.owner.setRules(m_rules);
         return m_duties.emplace(domain, std::move(duty)).first->second;
     }
@@ -171,7 +171,7 @@
 
     void finishRead(const FailureDomain &domain, const PlatformResult<StoredObject> &result)
     {
-        LeaseKeeper &keeper = m_duties.at(domain).keeper;
+        LeaseManager &keeper = m_duties.at(domain).keeper;
         const TimePoint now = ClockType::now();
         if (!result && result.error().kind == PlatformErrorKind::NotFound) {
             keeper.readMissing(now);
@@ -188,7 +188,7 @@
 
     void finishWrite(const FailureDomain &domain, const PlatformResult<ObjectVersion> &result)
     {
-        LeaseKeeper &keeper = m_duties.at(domain).keeper;
+        LeaseManager &keeper = m_duties.at(domain).keeper;
         if (result) {
             keeper.writeDone(result.value(), ClockType::now());
         } else {
@@ -231,7 +231,7 @@
         Duty &duty = m_duties.at(domain);
         if (duty.owner.orderDone(id, outcome, ClockType::now())) {
             m_log.warn("the fencing number of " + domain.text() + " is old");
-            duty.keeper.doubt();
+            duty.keeper.invalidate();
         }
         schedulePump();
     }
--- a/src/preset/presetswitch.cpp
+++ b/src/preset/presetswitch.cpp
@@ -61,7 +61,7 @@
     , m_limits(limits)
     , m_seed(seed)
     , m_random(seed)
-    , m_backoff(limits.firstWait, limits.longestWait)
+    , m_backoff(limits.firstWait, limits.maxWait)
 {
 }
 
@@ -249,7 +249,7 @@
     , m_limits(limits)
     , m_seed(seed)
     , m_random(seed)
-    , m_backoff(limits.firstWait, limits.longestWait)
+    , m_backoff(limits.firstWait, limits.maxWait)
     , m_key(presetLibraryPrefix + m_order.preset.name.text())
 {
 }
