--- a/src/duties/dutysession.h
+++ b/src/duties/dutysession.h
@@ -15,8 +15,8 @@
 
 #include "base/random.h"
 #include "duties/dutycalls.h"
-#include "duties/dutynote.h"
-#include "duties/usagebook.h"
+#include "duties/dutystate.h"
+#include "duties/usagetotals.h"
 #include "duties/usagereports.h"
 #include "placement/lease.h"
 #include "platform/objectsession.h"
--- a/src/duties/dutynote.cpp
+++ b/src/duties/dutystate.cpp
@@ -1,4 +1,4 @@
-#include "duties/dutynote.h"
+#include "duties/dutystate.h"
 
 #include "base/jsonreader.h"
 
--- a/src/duties/engineorders_test.cpp
+++ b/src/duties/engineorders_test.cpp
@@ -3,7 +3,7 @@
 #include "duties/engineorders.h"
 
 #include "base/random.h"
-#include "duties/dutynote.h"
+#include "duties/dutystate.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
--- a/src/duties/usage_test.cpp
+++ b/src/duties/usage_test.cpp
@@ -1,7 +1,7 @@
 // Counting, merging and reporting of usage, each on its own; their orders of events are in dutysearch_test.cpp.
 
 #include "base/random.h"
-#include "duties/usagebook.h"
+#include "duties/usagetotals.h"
 #include "duties/usagecounter.h"
 #include "duties/usagereports.h"
 #include "platform/objectapi.h"
--- a/src/duties/usagecounter.h
+++ b/src/duties/usagecounter.h
@@ -3,7 +3,7 @@
 // How many requests of each customer endpoints began in each window of true time, as one host saw them. A decision without I/O.
 //
 // A request counts once, in the window in which its first bytes came, whatever becomes of it: that is what the platform is owed. Counts of
-// a window only grow, so they may be told any number of times (usagebook.h).
+// a window only grow, so they may be told any number of times (usagetotals.h).
 //
 // Bounds: maxWindows windows, maxCustomers in each; what is beyond is not counted, and said so by uncounted().
 
--- a/src/duties/usagebook.cpp
+++ b/src/duties/usagetotals.cpp
@@ -1,4 +1,4 @@
-#include "duties/usagebook.h"
+#include "duties/usagetotals.h"
 
 #include <algorithm>
 
