--- a/src/duties/dutysearch_test.cpp
+++ b/src/duties/dutysearch_test.cpp
@@ -1,6 +1,7 @@
-// Three hosts that may hold the fleet's duties, every step drawn: lease calls and their answers, lost answers and late writes, calls of the
-// API on their way, pauses, restarts, and a store that comes back from an older copy. The API judges: two different reports of one window, a
-// number lower than one seen, one number from two hosts, or host A, then B, then A again within a lease's duration do harm.
+// Random search over three hosts that may hold the fleet's duties. Steps are lease calls and their answers, lost answers and late writes, API calls
+// in transit, pauses, restarts, and a store that comes back from an older copy. The API checks each call that arrives. Violations are: two different
+// reports of one window, a number lower than one seen, one number from two hosts, and calls from host A, then B, then A again within the duration of
+// a lease.
 
 #include "duties/usagereports.h"
 #include "placement/lease.h"
@@ -22,14 +23,14 @@
 constexpr Duration callBound = 400ms;
 constexpr std::size_t hosts = 3;
 
-/** What is left out of the mechanism. */
+/** Safeguards that are left out. */
 struct Flaws
 {
-    bool erasHidden = false; ///< hosts are not told that the store came back from a copy
+    bool erasHidden = false; ///< hosts do not learn that the store came back from a copy
     bool numbersCounted = false; ///< the fencing number is counted in the object
     bool sendsUnfixed = false; ///< a report is sent before the platform acknowledged it
     Duration callsArriveWithin = callBound; ///< hosts assume callBound
-    bool suspendStopsClock = false; ///< the lease is measured on a clock that stands still in a pause
+    bool suspendStopsClock = false; ///< the lease is measured on a clock that stops during a pause
 };
 
 struct StoreState
@@ -61,12 +62,12 @@
 
 struct Host
 {
-    LeaseManager keeper;
+    LeaseManager leaseManager;
     UsageReports reports;
     std::optional<LeaseFlight> flight;
     bool isSending = false;
     TimePoint pausedUntil{};
-    Duration stoodStill{};
+    Duration pausedTime{};
 };
 
 UsageReportOptions reportOptions()
@@ -88,12 +89,12 @@
 
     void run(int steps)
     {
-        for (int i = 0; i < steps && harm.empty(); ++i) {
+        for (int i = 0; i < steps && violation.empty(); ++i) {
             step();
         }
     }
 
-    std::string harm; ///< what the API saw
+    std::string violation; ///< found by the API; empty: none
     std::size_t accepted = 0;
 
 private:
@@ -107,7 +108,7 @@
         lease.retryFirst = 0ms;
         lease.numbersByVersion = !m_flaws.numbersCounted;
         Host host{LeaseManager(lease), UsageReports(reportOptions()), std::nullopt, false, {}, {}};
-        host.keeper.setWanted(true, true);
+        host.leaseManager.setWanted(true, true);
         return host;
     }
 
@@ -118,7 +119,7 @@
         if (kind < 300) {
             act(number);
         } else if (kind < 500) {
-            storeActs(number);
+            storeExecutes(number);
         } else if (kind < 650) {
             deliver(number);
         } else if (kind < 660) {
@@ -132,7 +133,7 @@
         } else if (kind < 702) {
             rollBack();
         } else {
-            pass();
+            advance();
         }
     }
 
@@ -143,7 +144,7 @@
 
     TimePoint clockOf(const Host &host) const
     {
-        return m_flaws.suspendStopsClock ? m_now - host.stoodStill : m_now;
+        return m_flaws.suspendStopsClock ? m_now - host.pausedTime : m_now;
     }
 
     void act(std::size_t number)
@@ -152,18 +153,18 @@
         if (isPaused(host)) {
             return;
         }
-        const LeaseView view = host.keeper.view(clockOf(host));
+        const LeaseView view = host.leaseManager.view(clockOf(host));
         if (view.held) {
-            host.reports.onLeaseHeld(view.fencing, host.keeper.heldPayload(), nowMs());
+            host.reports.onLeaseHeld(view.fencing, host.leaseManager.heldPayload(), nowMs());
             while (const std::optional<std::uint64_t> window = host.reports.toFix(nowMs())) {
-                // Any two reports that were made apart differ.
+                // Reports that were created separately always differ.
                 host.reports.fix({*window, {{"customer", ++m_counts}}});
                 if (m_flaws.sendsUnfixed && !host.isSending) {
                     send(number, view, {*window, {{"customer", m_counts}}});
                 }
             }
-            if (const std::optional<std::string> note = host.reports.wantedState()) {
-                host.keeper.setPayload(*note);
+            if (const std::optional<std::string> state = host.reports.wantedState()) {
+                host.leaseManager.setPayload(*state);
             }
             const std::optional<UsageReport> report = host.reports.toSend(m_now);
             if (report && !host.isSending && view.remaining >= callBound) {
@@ -173,7 +174,7 @@
             host.reports.onLeaseLost();
         }
         if (!host.flight) {
-            if (const std::optional<LeaseCall> call = host.keeper.nextCall(clockOf(host))) {
+            if (const std::optional<LeaseCall> call = host.leaseManager.nextCall(clockOf(host))) {
                 host.flight = LeaseFlight{*call, false, false, false, {}, 0};
             }
         }
@@ -198,7 +199,7 @@
         flight.seen = m_store.lease;
     }
 
-    void storeActs(std::size_t number)
+    void storeExecutes(std::size_t number)
     {
         std::optional<LeaseFlight> &flight = m_hosts[number].flight;
         if (!flight || flight->isDone) {
@@ -228,13 +229,13 @@
             return read;
         };
         if (flight.call.kind == LeaseCallKind::Read && flight.isMissing) {
-            host.keeper.readMissing(now, m_flaws.erasHidden ? 0 : flight.era);
+            host.leaseManager.readMissing(now, m_flaws.erasHidden ? 0 : flight.era);
         } else if (flight.call.kind == LeaseCallKind::Read) {
-            host.keeper.readDone(atEra(*flight.seen), now);
+            host.leaseManager.readDone(atEra(*flight.seen), now);
         } else if (flight.isConflict) {
-            host.keeper.writeFailed(PlatformErrorKind::Conflict, now, m_random);
+            host.leaseManager.writeFailed(PlatformErrorKind::Conflict, now, m_random);
         } else {
-            host.keeper.writeDone(atEra(*flight.seen).version, now);
+            host.leaseManager.writeDone(atEra(*flight.seen).version, now);
         }
     }
 
@@ -246,13 +247,13 @@
         }
         const LeaseFlight flight = *std::exchange(host.flight, std::nullopt);
         if (flight.call.kind == LeaseCallKind::Read) {
-            host.keeper.readFailed(clockOf(host), m_random);
+            host.leaseManager.readFailed(clockOf(host), m_random);
             return;
         }
         if (!flight.isDone) {
             m_lateWrites.push_back(flight);
         }
-        host.keeper.writeFailed(PlatformErrorKind::Unknown, clockOf(host), m_random);
+        host.leaseManager.writeFailed(PlatformErrorKind::Unknown, clockOf(host), m_random);
     }
 
     void lateWrite()
@@ -273,31 +274,31 @@
         host.reports.sent(call.report.window, arrives, m_now);
     }
 
-    void judge(const ApiFlight &call)
+    void checkArrival(const ApiFlight &call)
     {
-        if (!m_judged.insert(call.arrivesAt).second) {
+        if (!m_checked.insert(call.arrivesAt).second) {
             return;
         }
         ++accepted;
         const auto [known, isFirst] = m_reported.try_emplace(call.report.window, call.report);
         if (!isFirst && known->second != call.report) {
-            harm = "two different reports of one window";
+            violation = "two different reports of one window";
         }
         if (call.number < m_highest) {
-            harm = "a lower number";
+            violation = "a lower number";
         }
         m_highest = std::max(m_highest, call.number);
         const auto [holder, isNew] = m_holders.try_emplace(call.number, call.host);
         if (!isNew && holder->second != call.host) {
-            harm = "one number of two hosts";
+            violation = "one number of two hosts";
         }
         if (m_acts.empty() || m_acts.back().host != call.host) {
             m_acts.push_back(call);
         }
-        m_acts.back().sentAt = m_now; // of the last act
+        m_acts.back().sentAt = m_now; // time of the host's latest call
         const std::size_t size = m_acts.size();
         if (size >= 3 && m_acts[size - 3].host == call.host && m_now - m_acts[size - 3].sentAt < leaseTime) {
-            harm = "a host, another, and the first again";
+            violation = "a host, another, and the first again";
         }
     }
 
@@ -311,16 +312,16 @@
         ++m_era;
     }
 
-    void pass()
+    void advance()
     {
         m_now += tick;
         m_copies.push_back(m_store);
         for (Host &host : m_hosts) {
-            host.stoodStill += isPaused(host) ? tick : 0ms;
+            host.pausedTime += isPaused(host) ? tick : 0ms;
         }
         for (ApiFlight &call : m_calls) {
             if (m_now >= call.arrivesAt) {
-                judge(call);
+                checkArrival(call);
             }
             const bool isAnswered = m_now >= call.arrivesAt && !call.isAnswerLost;
             if (!call.isGivenUp && (isAnswered || m_now - call.sentAt >= callBound)) {
@@ -345,7 +346,7 @@
     std::vector<StoreState> m_copies;
     std::vector<LeaseFlight> m_lateWrites;
     std::vector<ApiFlight> m_calls;
-    std::set<TimePoint> m_judged; ///< arrivals
+    std::set<TimePoint> m_checked; ///< arrival times of calls already checked
     std::map<std::uint64_t, UsageReport> m_reported;
     std::map<std::uint64_t, std::size_t> m_holders;
     std::vector<ApiFlight> m_acts;
@@ -357,17 +358,17 @@
 struct Finding
 {
     std::uint64_t seed = 0;
-    std::string harm;
+    std::string violation;
     std::size_t accepted = 0;
 };
 
 Finding search(const Flaws &flaws, std::uint64_t seeds, int steps)
 {
     Finding finding;
-    for (std::uint64_t seed = 1; seed <= seeds && finding.harm.empty(); ++seed) {
+    for (std::uint64_t seed = 1; seed <= seeds && finding.violation.empty(); ++seed) {
         World world(seed, flaws);
         world.run(steps);
-        finding = {seed, world.harm, finding.accepted + world.accepted};
+        finding = {seed, world.violation, finding.accepted + world.accepted};
     }
     return finding;
 }
@@ -377,16 +378,16 @@
 
 } // namespace
 
-TEST_CASE("no order of steps makes two holders act as one, or a window be reported twice with different counts", "[at-most-once]")
+TEST_CASE("no interleaving lets two holders act at once, or reports a window twice with different counts", "[at-most-once]")
 {
-    // The customers would be billed twice, and for other numbers. Each step below may come at any moment; the API's judge is the rule itself.
+    // Customers would be billed twice, with different counts. Any step may happen at any time; checkArrival() states the rule.
     const Finding finding = search({}, seeds, steps);
-    INFO("seed " << finding.seed << ": " << finding.harm);
-    CHECK(finding.harm.empty());
-    CHECK(finding.accepted > seeds); // or nothing was searched
+    INFO("seed " << finding.seed << ": " << finding.violation);
+    CHECK(finding.violation.empty());
+    CHECK(finding.accepted > seeds); // otherwise the search exercised nothing
 }
 
-TEST_CASE("the search finds harm where a safeguard is left out", "[at-most-once]")
+TEST_CASE("the search finds a violation where a safeguard is left out", "[at-most-once]")
 {
     Flaws flaws;
     SECTION("hosts don't learn that the store came back from a copy")
@@ -405,9 +406,9 @@
     {
         flaws.callsArriveWithin = 3 * leaseTime;
     }
-    SECTION("the lease's clock stands still while the host does")
+    SECTION("the lease's clock stops while the host is suspended")
     {
         flaws.suspendStopsClock = true;
     }
-    CHECK_FALSE(search(flaws, seeds, steps).harm.empty());
+    CHECK_FALSE(search(flaws, seeds, steps).violation.empty());
 }
--- a/src/duties/dutysession.cpp
+++ b/src/duties/dutysession.cpp
@@ -7,7 +7,7 @@
 {
 
 constexpr const char *leaseName = "lease";
-// Clocks' rates, and the way of a last byte.
+// Covers differences in clock rate and the transit time of a call's last byte.
 constexpr Duration callMargin = 200ms;
 
 LeaseOptions leaseOptions(const DutyOptions &options)
@@ -40,7 +40,7 @@
     , m_codec(codec)
     , m_options(std::move(options))
     , m_ports(std::move(ports))
-    , m_keeper(leaseOptions(m_options))
+    , m_leaseManager(leaseOptions(m_options))
     , m_reports(m_options.usage)
     , m_random(m_options.seed)
 {
@@ -55,13 +55,13 @@
 template <Clock ClockType>
 void DutySession<ClockType>::receive(const SharedUsage &usage)
 {
-    m_book.receive(usage);
+    m_totals.receive(usage);
 }
 
 template <Clock ClockType>
 LeaseView DutySession<ClockType>::lease() const
 {
-    return m_keeper.view(m_ports.suspendClock());
+    return m_leaseManager.view(m_ports.suspendClock());
 }
 
 template <Clock ClockType>
@@ -77,22 +77,22 @@
     if (m_stopped) {
         return;
     }
-    noticeLease();
+    updateLeaseState();
     if (m_number != 0) {
         fixReports();
-        writeNote();
+        writePayload();
     }
-    pumpLease();
+    sendLeaseCall();
     sendReport();
     sendOrder();
 }
 
 template <Clock ClockType>
-void DutySession<ClockType>::pumpLease()
+void DutySession<ClockType>::sendLeaseCall()
 {
-    // A call under way may still arrive: the lease is let go after it.
-    m_keeper.setWanted(m_wanted, !m_isSending);
-    const std::optional<LeaseCall> call = m_keeper.nextCall(m_ports.suspendClock());
+    // A call in progress may still arrive, so the lease is released only after it has ended.
+    m_leaseManager.setWanted(m_wanted, !m_isSending);
+    const std::optional<LeaseCall> call = m_leaseManager.nextCall(m_ports.suspendClock());
     if (!call) {
         return;
     }
@@ -113,14 +113,14 @@
     }
     const TimePoint now = m_ports.suspendClock();
     if (!result && result.error().kind == PlatformErrorKind::NotFound) {
-        m_keeper.readMissing(now, eraOf(result.error().currentVersion));
+        m_leaseManager.readMissing(now, eraOf(result.error().currentVersion));
     } else if (!result) {
-        m_keeper.readFailed(now, m_random);
+        m_leaseManager.readFailed(now, m_random);
     } else if (const Result<LeaseRecord, LeaseError> record = parseLease(result.value().value, 0); record) {
-        m_keeper.readDone({result.value().version, record.value()}, now);
+        m_leaseManager.readDone({result.value().version, record.value()}, now);
     } else {
-        m_log.error("The lease of the fleet's duties can't be read; nobody holds them until its object is removed.");
-        m_keeper.readFailed(now, m_random);
+        m_log.error("The lease of the fleet's duties can't be read; no host performs them until the lease object is removed.");
+        m_leaseManager.readFailed(now, m_random);
     }
     tick();
 }
@@ -133,30 +133,30 @@
     }
     const TimePoint now = m_ports.suspendClock();
     if (result) {
-        m_keeper.writeDone(result.value(), now);
+        m_leaseManager.writeDone(result.value(), now);
     } else {
-        m_keeper.writeFailed(result.error().kind, now, m_random);
+        m_leaseManager.writeFailed(result.error().kind, now, m_random);
     }
     tick();
 }
 
 template <Clock ClockType>
-void DutySession<ClockType>::noticeLease()
+void DutySession<ClockType>::updateLeaseState()
 {
     const LeaseView view = lease();
     const std::uint64_t number = view.held ? view.fencing : 0;
     if (number != m_number) {
         m_ports.tell(number != 0 ? "duties-taken" : "duties-lost", LogFields().number("number", static_cast<std::int64_t>(number != 0 ? number : m_number)));
         m_number = number;
-        // Held again under the same number, after an outage of the store: nobody else has ordered anything.
+        // The lease may be held again under the same number after an outage of the store. No other host has ordered anything meanwhile.
         if (number != 0 && number != std::exchange(m_lastNumber, number)) {
-            m_orders.begin(parseDutyState(m_keeper.heldPayload()).engines);
+            m_orders.begin(parseDutyState(m_leaseManager.heldPayload()).engines);
         }
     }
     if (number == 0) {
         m_reports.onLeaseLost();
     } else {
-        m_reports.onLeaseHeld(number, parseDutyState(m_keeper.heldPayload()).usage, m_ports.trueTimeMs());
+        m_reports.onLeaseHeld(number, parseDutyState(m_leaseManager.heldPayload()).usage, m_ports.trueTimeMs());
     }
     for (const auto &[window, why] : m_reports.takeSkipped()) {
         m_ports.tell("usage-left-out", LogFields().number("window", static_cast<std::int64_t>(window)).text("why", nameOf(why)));
@@ -167,7 +167,7 @@
 UsageReport DutySession<ClockType>::reportOf(std::uint64_t window) const
 {
     UsageReport report{window, {}};
-    for (const auto &[key, begun] : m_book.totals(window)) {
+    for (const auto &[key, begun] : m_totals.totals(window)) {
         const std::string name = m_ports.customerName(key);
         if (!name.empty()) {
             report.counts[name] = begun;
@@ -187,14 +187,14 @@
         }
         LogFields fields;
         fields.number("window", static_cast<std::int64_t>(*window)).number("customers", static_cast<std::int64_t>(report.counts.size()));
-        fields.number("requests", begun).number("hosts", static_cast<std::int64_t>(m_book.reporters(*window)));
+        fields.number("requests", begun).number("hosts", static_cast<std::int64_t>(m_totals.reporters(*window)));
         m_ports.tell("usage-fixed", fields);
         m_reports.fix(std::move(report));
     }
 }
 
 template <Clock ClockType>
-void DutySession<ClockType>::writeNote()
+void DutySession<ClockType>::writePayload()
 {
     m_orders.setServices(m_ports.scaledServices());
     if (m_options.ordersEngines && m_orders.fixGoals(m_ports.engines(), ClockType::now())) {
@@ -204,10 +204,10 @@
             m_ports.tell("engine-goal", fields.number("domains", static_cast<std::int64_t>(goal.domains.size())));
         }
     }
-    const DutyState acknowledged = parseDutyState(m_keeper.heldPayload());
+    const DutyState acknowledged = parseDutyState(m_leaseManager.heldPayload());
     const std::optional<std::string> usage = m_options.reportsUsage ? m_reports.wantedState() : std::nullopt;
     if (usage || m_orders.goals() != acknowledged.engines) {
-        m_keeper.setPayload(formatDutyState({usage.value_or(acknowledged.usage), m_orders.goals()}));
+        m_leaseManager.setPayload(formatDutyState({usage.value_or(acknowledged.usage), m_orders.goals()}));
     }
 }
 
@@ -215,7 +215,7 @@
 bool DutySession<ClockType>::mayCall() const
 {
     const LeaseView view = lease();
-    // Twice: a call may wait for a connection as long as it may then take.
+    // Twice the timeout: a call may wait that long for a connection and then take as long again.
     return !m_isSending && view.held && view.remaining >= 2 * m_options.callTimeout + callMargin;
 }
 
@@ -253,8 +253,8 @@
 template <Clock ClockType>
 void DutySession<ClockType>::sendOrder()
 {
-    // Goals that are not in the note yet may be fixed otherwise by the next holder.
-    if (!mayCall() || m_orders.goals().empty() || parseDutyState(m_keeper.heldPayload()).engines != m_orders.goals()) {
+    // Until the goals are in the lease's payload, the next holder may determine different ones.
+    if (!mayCall() || m_orders.goals().empty() || parseDutyState(m_leaseManager.heldPayload()).engines != m_orders.goals()) {
         return;
     }
     const std::optional<EngineOrder> order = m_orders.next(m_ports.engines(), ClockType::now());
--- a/src/duties/engineorders.cpp
+++ b/src/duties/engineorders.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Of a goal's service in a domain; none listed counts as zero. */
+/** The engines of a service in a domain; zero if none are listed. */
 EngineCount countOf(std::span<const EngineCount> counts, const ShardId &service, const FailureDomain &domain)
 {
     const auto found = std::ranges::find_if(counts, [&](const EngineCount &count) { return count.service == service && count.domain == domain; });
@@ -21,11 +21,11 @@
 {
     m_goals = std::move(goals);
     m_ordered.clear();
-    m_sightings.clear();
+    m_observations.clear();
 }
 
-// Failure: the first holder takes the duties while engines are still writing themselves into the store, and takes the few that it sees for what
-// the service had. Symptom: all but those few are ordered away, and nearly every prompt is refused.
+// Failure: the first holder takes the duties while engines are still registering in the store, and mistakes the few that it sees for all that the
+// service had. Symptom: all but those few are removed, and nearly every prompt is refused.
 bool EngineOrders::fixGoals(std::span<const EngineCount> counts, TimePoint now)
 {
     const std::size_t before = m_goals.size();
@@ -35,13 +35,13 @@
         }
         EngineGoal goal{service.service, 0, 0, {}};
         for (const EngineCount &count : counts) {
-            const std::uint32_t there = count.lasting + count.reclaimable;
-            if (count.service == service.service && there > 0) {
+            const std::uint32_t readyCount = count.lasting + count.reclaimable;
+            if (count.service == service.service && readyCount > 0) {
                 goal.domains.push_back(count.domain);
-                goal.need += there;
+                goal.need += readyCount;
             }
         }
-        Sighting &seen = m_sightings[service.service];
+        Observation &seen = m_observations[service.service];
         if (seen.engines != goal) {
             seen = {goal, now};
         }
@@ -97,47 +97,47 @@
         return std::nullopt;
     }
     const Ordered others = ordered({goal.service, count.domain, false});
-    // Those that boot are not listed yet.
+    // Booting engines are not listed yet, so the accepted order counts.
     const std::uint32_t lasting = std::max(count.lasting, others.accepted.value_or(0)) + count.leaving;
-    const std::uint32_t room = service->maxPerDomain - std::min(service->maxPerDomain, lasting);
-    const EngineOrder cheap{goal.service, count.domain, true, std::min(goal.eachDomain, room)};
-    const bool hasCheap = cheap.count > 0 && count.reclaimable >= static_cast<std::uint32_t>(cheap.count * m_options.readyShare);
-    if (cheap.count > 0) {
-        if (std::optional<EngineOrder> order = due(cheap, count.reclaimable, service->boot, now)) {
+    const std::uint32_t capacity = service->maxPerDomain - std::min(service->maxPerDomain, lasting);
+    const EngineOrder reclaimableOrder{goal.service, count.domain, true, std::min(goal.eachDomain, capacity)};
+    const bool hasReclaimable = reclaimableOrder.count > 0 && count.reclaimable >= static_cast<std::uint32_t>(reclaimableOrder.count * m_options.readyShare);
+    if (reclaimableOrder.count > 0) {
+        if (std::optional<EngineOrder> order = due(reclaimableOrder, count.reclaimable, service->boot, now)) {
             return order;
         }
     }
-    // Where the others have enough, lasting engines only take the room of reclaimable ones.
-    const bool isSpare = ready - count.lasting >= goal.need;
-    if (hasCheap || isSpare) {
-        // Never below the configuration's own bound.
+    // If the service has enough engines without this domain's lasting ones, they only occupy capacity that reclaimable ones could use.
+    const bool hasSurplus = ready - count.lasting >= goal.need;
+    if (hasReclaimable || hasSurplus) {
+        // Never below the configured minimum.
         const std::uint32_t floor = service->minPerDomain - std::min(service->minPerDomain, count.reclaimable);
         return count.lasting > floor ? due({goal.service, count.domain, false, floor}, count.lasting, service->boot, now) : std::nullopt;
     }
-    // Failure: a domain's reclaimable engines go, and no others are to be had there. What the service then lacks comes from lasting ones.
+    // Failure: a domain's reclaimable engines are reclaimed and no new ones are available there. Lasting engines fill what the service then lacks.
     const std::uint32_t missing = goal.need - std::min(goal.need, ready);
-    const bool isShort = ordered({goal.service, count.domain, true}).noneThere && missing > 0;
+    const bool isShort = ordered({goal.service, count.domain, true}).noneAvailable && missing > 0;
     const std::uint32_t bound = service->maxPerDomain - std::min(service->maxPerDomain, count.reclaimable);
     const std::uint32_t substitute = std::min({goal.eachDomain, count.lasting + missing, bound});
     const bool isOrdered = others.accepted && *others.accepted >= substitute;
     return isShort && !isOrdered ? due({goal.service, count.domain, false, substitute}, count.lasting, service->boot, now) : std::nullopt;
 }
 
-std::optional<EngineOrder> EngineOrders::due(const EngineOrder &order, std::uint32_t standing, Duration boot, TimePoint now) const
+std::optional<EngineOrder> EngineOrders::due(const EngineOrder &order, std::uint32_t listedCount, Duration boot, TimePoint now) const
 {
     const Ordered known = ordered({order.service, order.domain, order.isReclaimable});
     if (now < known.retryAt) {
         return std::nullopt;
     }
     const bool isUnderWay = known.accepted == order.count && now - known.acceptedAt < boot + m_options.settle;
-    const bool hasCome = known.accepted == order.count && standing == order.count;
-    return isUnderWay || hasCome ? std::nullopt : std::optional(order);
+    const bool isComplete = known.accepted == order.count && listedCount == order.count;
+    return isUnderWay || isComplete ? std::nullopt : std::optional(order);
 }
 
 void EngineOrders::answered(const EngineOrder &order, OrderAnswer answer, TimePoint now)
 {
     Ordered &known = m_ordered[{order.service, order.domain, order.isReclaimable}];
-    known.noneThere = answer == OrderAnswer::NoneAvailable;
+    known.noneAvailable = answer == OrderAnswer::NoneAvailable;
     if (answer == OrderAnswer::Accepted) {
         known.accepted = order.count;
         known.acceptedAt = now;
--- a/src/duties/engineorders.h
+++ b/src/duties/engineorders.h
@@ -1,22 +1,22 @@
 #pragma once
 
-// How many engines of which kind the platform is asked for, by service and failure domain. A decision without I/O.
+// Decides how many engines of which kind are ordered from the platform, by service and failure domain. Pure decision logic; performs no I/O.
 //
-// Engines are billed by the second, those that may be reclaimed at a fraction of the others' price, all of a domain's at once and at short
-// notice. So a service that stands in two domains or more rests on reclaimable engines, as many that any one domain may lose all of its own and
-// the others still have what the service had when the duty was first held, and more where that costs less than `spendShare` of what
-// was paid then: callers' worst seconds are those in which a burst finds too few engines, and new ones take their boot. Fewer where a domain's
-// bound leaves no room. A service in one domain alone is left as it is.
+// Engines are billed by the second. Reclaimable engines cost a fraction of the price of lasting ones, but all those of a domain may be reclaimed at
+// once and at short notice. A service in two or more domains therefore runs on reclaimable engines: enough that any one domain may lose all of its
+// own and the others still have as many engines as the service had when the duty was first held. More are ordered as long as the whole costs less
+// than `spendShare` of the original price, since callers fare worst in the seconds in which a burst finds too few engines and new ones still boot.
+// Fewer are ordered where a domain's maximum does not allow them. A service in a single domain is left as it is.
 //
-// Order of events: reclaimable engines are ordered beside those that are there; only when nearly all that have room are ready do the others go,
-// domain by domain, and then the rest comes. So no moment has fewer engines than the start. Where none are to be had, or all were reclaimed, the
-// order is repeated, and while the service has fewer than it had, others are ordered in the domains that are short; they go again when
-// the reclaimable ones are back.
+// Order of events: reclaimable engines are ordered in addition to the existing ones. Once nearly all that the domain's maximum allows are ready, the
+// lasting engines are removed, domain by domain, and the remaining reclaimable ones ordered, so the service never has fewer engines than at the
+// start. If none are available or all were reclaimed, the order is repeated. While the service has fewer engines than it had, lasting engines are
+// ordered in the domains that are short; they are removed when the reclaimable ones are back.
 //
-// Orders state the wanted end, so a lost answer is made good by sending the order again. A loop that stops leaves a fleet that serves.
+// Orders state the wanted number, so a lost answer is compensated by sending the order again. If ordering stops, the fleet keeps serving as it is.
 //
-// Use: note() goes with the lease to the next holder; next(), then answered() for each order. Cost: two calls a domain at the start, one each
-// repeatAfter while engines are short.
+// Use: begin() with the goals of the previous holder; pass goals() on with the lease. Call next(), then answered() for each order. Cost: two calls
+// per domain at the start, then one every repeatAfter while engines are short.
 
 #include "base/ids.h"
 #include "base/time.h"
@@ -31,14 +31,14 @@
 namespace Rhubarbwind
 {
 
-/** What the configuration says of a service whose engines may be ordered. */
+/** Configuration of a service whose engines may be ordered. */
 struct ScaledService
 {
     ShardId service;
-    std::uint32_t minPerDomain = 0; ///< engines of both kinds in a domain
+    std::uint32_t minPerDomain = 0; ///< engines of both kinds
     std::uint32_t maxPerDomain = 0;
-    Duration boot = 10s; ///< from an order until new engines serve
-    double reclaimablePrice = 1; ///< of another engine's
+    Duration boot = 10s; ///< from an order until the new engines serve
+    double reclaimablePrice = 1; ///< as a fraction of a lasting engine's price
     friend bool operator==(const ScaledService &, const ScaledService &) = default;
 };
 
@@ -47,9 +47,9 @@
 {
     ShardId service;
     FailureDomain domain;
-    std::uint32_t lasting = 0; ///< ready, and not to be reclaimed
+    std::uint32_t lasting = 0; ///< ready, and not subject to reclaiming
     std::uint32_t reclaimable = 0; ///< ready
-    std::uint32_t leaving = 0; ///< of both kinds; they count towards the domain's bound
+    std::uint32_t leaving = 0; ///< of both kinds; they count towards the domain's maximum
 };
 
 struct EngineOrder
@@ -63,11 +63,11 @@
 
 enum class OrderAnswer : std::uint8_t {
     Accepted,
-    NoneAvailable, ///< none of that kind are to be had in the domain now
+    NoneAvailable, ///< no engines of that kind are available in the domain now
     Failed, ///< refused, or without an answer
 };
 
-/** What a service is to have; fixed once, and handed on to each next holder. */
+/** The engines that a service is to have; determined once and passed on from holder to holder. */
 struct EngineGoal
 {
     ShardId service;
@@ -79,11 +79,11 @@
 
 struct EngineOrderOptions
 {
-    double spendShare = 0.45; ///< of the price of the engines that there were
-    Duration stableTime = 2s; ///< in which a service's engines stay the same before its goal is fixed
-    double readyShare = 0.9; ///< of the reclaimable engines ordered; then the others go
-    Duration repeatAfter = 3s; ///< of an order that was not accepted, or whose engines have not come
-    Duration settle = 2s; ///< beyond the boot, until engines that have not come are missed
+    double spendShare = 0.45; ///< of the price of the engines that the service had at first
+    Duration stableTime = 2s; ///< for which a service's engines stay the same before its goal is determined
+    double readyShare = 0.9; ///< of the reclaimable engines ordered; once they are ready the lasting ones are removed
+    Duration repeatAfter = 3s; ///< before an order that was not accepted, or whose engines did not appear, is repeated
+    Duration settle = 2s; ///< beyond the boot time, before engines that have not appeared count as missing
 };
 
 class EngineOrders
@@ -98,9 +98,9 @@
     {
         m_services = std::move(services);
     }
-    /** The duty was taken: nothing is known of earlier orders but the goals. */
+    /** The duty was taken over: only the goals of earlier orders are known. */
     void begin(std::vector<EngineGoal> goals);
-    /** Fixes goals of services that have none yet, from what is listed once that is calm. @return true if there are new ones */
+    /** Determines the goals of services that have none yet, once the listed engines have been stable. @return true if there are new goals */
     bool fixGoals(std::span<const EngineCount> counts, TimePoint now);
     const std::vector<EngineGoal> &goals() const
     {
@@ -123,28 +123,28 @@
         std::optional<std::uint32_t> accepted;
         TimePoint acceptedAt{};
         TimePoint retryAt{};
-        bool noneThere = false; ///< as last answered
+        bool noneAvailable = false; ///< by the last answer
     };
 
-    /** What a service has, in all domains. */
-    struct Sighting
+    /** The engines that a service has in all domains. */
+    struct Observation
     {
         EngineGoal engines;
-        TimePoint since{}; ///< it has been so
+        TimePoint since{}; ///< when this state was first seen
     };
 
     const ScaledService *scaling(const ShardId &service) const;
     Ordered ordered(const OrderKey &key) const;
     std::uint32_t eachDomain(const ScaledService &service, const EngineGoal &goal) const;
     std::optional<EngineOrder> nextOf(const EngineGoal &goal, const EngineCount &count, std::uint32_t ready, TimePoint now) const;
-    /** @return none if nothing is to be sent now */
-    std::optional<EngineOrder> due(const EngineOrder &order, std::uint32_t standing, Duration boot, TimePoint now) const;
+    /** @param listedCount ready engines of the order's kind  @return none if nothing is to be sent now */
+    std::optional<EngineOrder> due(const EngineOrder &order, std::uint32_t listedCount, Duration boot, TimePoint now) const;
 
     EngineOrderOptions m_options;
     std::vector<ScaledService> m_services;
     std::vector<EngineGoal> m_goals;
     std::map<OrderKey, Ordered> m_ordered;
-    std::map<ShardId, Sighting> m_sightings; ///< of services without a goal
+    std::map<ShardId, Observation> m_observations; ///< of services without a goal
 };
 
 } // namespace Rhubarbwind
--- a/src/duties/engineorders_test.cpp
+++ b/src/duties/engineorders_test.cpp
@@ -1,4 +1,4 @@
-// Orders for engines against a platform that boots, drains, reclaims and has none, on virtual time.
+// Engine orders against a simulated platform that boots, drains and reclaims engines and may have none available, on virtual time.
 
 #include "duties/engineorders.h"
 
@@ -20,7 +20,7 @@
 constexpr std::uint32_t maxPerDomain = 60;
 constexpr std::uint32_t atStart = 30;
 constexpr std::uint32_t need = 90;
-constexpr std::uint32_t wantedEach = 60; ///< for 0.44 of the price
+constexpr std::uint32_t goalPerDomain = 60; ///< costs 0.44 of the original price
 const ShardId service("llm");
 const std::vector<FailureDomain> domains{FailureDomain("north"), FailureDomain("south"), FailureDomain("west")};
 
@@ -28,8 +28,8 @@
 struct Pool
 {
     std::uint32_t ready = 0;
-    std::vector<TimePoint> booting; ///< ready then
-    std::vector<TimePoint> leaving; ///< gone then
+    std::vector<TimePoint> booting; ///< when each becomes ready
+    std::vector<TimePoint> leaving; ///< when each is removed
 
     std::uint32_t billed() const
     {
@@ -50,7 +50,7 @@
     OrderAnswer order(const EngineOrder &order, TimePoint now)
     {
         ++orders;
-        if (order.isReclaimable && now < noneUntil[order.domain]) {
+        if (order.isReclaimable && now < unavailableUntil[order.domain]) {
             return OrderAnswer::NoneAvailable;
         }
         Pool &pool = pools[order.domain][order.isReclaimable];
@@ -69,17 +69,17 @@
         return OrderAnswer::Accepted;
     }
 
-    void reclaim(const FailureDomain &domain, TimePoint now, Duration none)
+    void reclaim(const FailureDomain &domain, TimePoint now, Duration unavailableFor)
     {
         Pool &pool = pools[domain][true];
         for (; pool.ready > 0; --pool.ready) {
             pool.leaving.push_back(now + 1s);
         }
         pool.booting.clear();
-        noneUntil[domain] = now + none;
+        unavailableUntil[domain] = now + unavailableFor;
     }
 
-    void pass(TimePoint now)
+    void advance(TimePoint now)
     {
         for (auto &[domain, kinds] : pools) {
             for (auto &[kind, pool] : kinds) {
@@ -94,11 +94,11 @@
         std::vector<EngineCount> listed;
         for (const auto &[domain, kinds] : pools) {
             const Pool &lasting = kinds.at(false);
-            const auto cheap = kinds.find(true);
+            const auto reclaimable = kinds.find(true);
             EngineCount count{service, domain, lasting.ready, 0, static_cast<std::uint32_t>(lasting.leaving.size())};
-            if (cheap != kinds.end()) {
-                count.reclaimable = cheap->second.ready;
-                count.leaving += static_cast<std::uint32_t>(cheap->second.leaving.size());
+            if (reclaimable != kinds.end()) {
+                count.reclaimable = reclaimable->second.ready;
+                count.leaving += static_cast<std::uint32_t>(reclaimable->second.leaving.size());
             }
             listed.push_back(count);
         }
@@ -114,10 +114,10 @@
         return sum;
     }
 
-    std::map<FailureDomain, std::map<bool, Pool>> pools; ///< by whether they may be reclaimed
-    std::map<FailureDomain, TimePoint> noneUntil;
+    std::map<FailureDomain, std::map<bool, Pool>> pools; ///< by whether they are reclaimable
+    std::map<FailureDomain, TimePoint> unavailableUntil;
     std::size_t orders = 0;
-    std::size_t refused = 0; ///< beyond the domain's bound
+    std::size_t refused = 0; ///< beyond the domain's maximum
 };
 
 ScaledService scaling()
@@ -125,21 +125,21 @@
     return {service, 1, maxPerDomain, bootTime, 0.22};
 }
 
-/** As a holder does that sees the same for some seconds. */
+/** Lets the goals be determined: the same engines are listed for longer than stableTime. */
 void fixGoals(EngineOrders &orders, const Platform &platform)
 {
     orders.fixGoals(platform.counts(), TimePoint(30min));
     orders.fixGoals(platform.counts(), TimePoint(31min));
 }
 
-/** Runs until `end`, a tenth of a second at a time; now and then an answer is lost, or another holder goes on. */
+/** Runs a holder in steps of 100 ms. With a seed, answers are lost at random and the duty passes to another holder at random. */
 class Loop
 {
 public:
     explicit Loop(Platform &platform, std::uint64_t seed = 0)
         : m_platform(platform)
         , m_random(seed)
-        , m_isHarmed(seed != 0)
+        , m_injectsFaults(seed != 0)
     {
         m_orders.setServices({scaling()});
         fixGoals(m_orders, platform);
@@ -148,41 +148,41 @@
     void until(TimePoint end)
     {
         for (; now < end; now += 100ms) {
-            m_platform.pass(now);
-            fewest = std::min(fewest, m_platform.ready(false) + m_platform.ready(true));
-            if (m_isHarmed && m_random.below(100) == 0) {
+            m_platform.advance(now);
+            minReady = std::min(minReady, m_platform.ready(false) + m_platform.ready(true));
+            if (m_injectsFaults && m_random.below(100) == 0) {
                 m_orders.begin(parseDutyState(formatDutyState({"", m_orders.goals()})).engines);
             }
             if (const std::optional<EngineOrder> order = m_orders.next(m_platform.counts(), now)) {
                 const OrderAnswer answer = m_platform.order(*order, now);
-                m_orders.answered(*order, m_isHarmed && m_random.below(5) == 0 ? OrderAnswer::Failed : answer, now);
+                m_orders.answered(*order, m_injectsFaults && m_random.below(5) == 0 ? OrderAnswer::Failed : answer, now);
             }
         }
     }
 
     TimePoint now = TimePoint(1h);
-    std::uint32_t fewest = 1000;
+    std::uint32_t minReady = 1000;
 
 private:
     Platform &m_platform;
     EngineOrders m_orders;
     Random m_random;
-    bool m_isHarmed;
+    bool m_injectsFaults;
 };
 
 } // namespace
 
-TEST_CASE("cheaper engines take the place of those that are there, and no moment has fewer than before", "[engines]")
+TEST_CASE("reclaimable engines replace lasting ones, and there are never fewer engines than before", "[engines]")
 {
-    // Callers wait while engines are replaced if the old ones go before the new ones serve. All must be replaced within a boot and a drain, and
-    // then nothing is ordered any more.
+    // If lasting engines were removed before the new ones serve, callers would wait. All must be replaced within a boot and a drain, and nothing
+    // ordered afterwards.
     Platform platform;
     Loop loop(platform);
     loop.until(loop.now + 10s);
-    CHECK(loop.fewest == need);
+    CHECK(loop.minReady == need);
     loop.until(loop.now + 10s);
-    CHECK(loop.fewest == need);
-    CHECK(platform.ready(true) == domains.size() * wantedEach);
+    CHECK(loop.minReady == need);
+    CHECK(platform.ready(true) == domains.size() * goalPerDomain);
     CHECK(platform.ready(false) == 0);
     const std::size_t orders = platform.orders;
     CHECK(orders <= 4 * domains.size());
@@ -191,9 +191,9 @@
     CHECK(platform.refused == 0);
 }
 
-TEST_CASE("a domain that loses its cheaper engines leaves as many as there were before any were", "[engines]")
+TEST_CASE("after a domain loses its reclaimable engines, the service has as many engines as before any were ordered", "[engines]")
 {
-    // A third of the domains goes dark at the dearest moment. Callers must not notice: what is left is what the service was given at first.
+    // One of three domains loses its engines under load. Callers must not notice: the remaining engines are as many as the service had at first.
     Platform platform;
     Loop loop(platform);
     loop.until(loop.now + 20s);
@@ -201,20 +201,20 @@
     CHECK(platform.ready(true) + platform.ready(false) >= need);
     loop.until(loop.now + 30s);
     CHECK(platform.ready(false) == 0);
-    // A second domain's go as well: now others are ordered, within a boot, a question and an order.
+    // A second domain loses its engines too: lasting ones are ordered, within one boot time, one listing and one order.
     platform.reclaim(domains[2], loop.now, 1min);
     loop.until(loop.now + bootTime + 1s);
     CHECK(platform.ready(true) + platform.ready(false) >= need);
     loop.until(loop.now + 2min);
     CHECK(platform.ready(false) == 0);
-    CHECK(platform.ready(true) == domains.size() * wantedEach);
+    CHECK(platform.ready(true) == domains.size() * goalPerDomain);
     CHECK(platform.refused == 0);
 }
 
 TEST_CASE("whatever is reclaimed, lost or handed over, the fleet ends as it was wanted, without a storm of orders", "[engines]")
 {
-    // The holder dies in the middle, answers get lost, domains lose their engines again and again. Callers must find all engines back once
-    // the platform has some, and the platform must not be asked more than it takes.
+    // The holder dies during the change, answers are lost, domains lose their engines repeatedly. Callers must have all engines again once the
+    // platform has some available, and the platform must not receive more orders than it accepts.
     rc::prop("any course", [] {
         Platform platform;
         Loop loop(platform, *rc::gen::inRange<std::uint64_t>(1, 1'000'000));
@@ -225,16 +225,16 @@
         }
         const TimePoint began = TimePoint(1h);
         loop.until(loop.now + 90s);
-        RC_ASSERT(platform.ready(true) == domains.size() * wantedEach);
+        RC_ASSERT(platform.ready(true) == domains.size() * goalPerDomain);
         RC_ASSERT(platform.ready(false) == 0U);
         RC_ASSERT(static_cast<double>(platform.orders) < toSeconds(loop.now - began) * 2 + 20);
     });
 }
 
-TEST_CASE("engines that are still writing themselves into the store are waited for before anything is ordered", "[engines]")
+TEST_CASE("nothing is ordered while engines are still registering in the store", "[engines]")
 {
-    // Nearly every prompt is refused for the whole day: the first holder of the duties took the three engines that it saw in its first second
-    // for all that there were, ordered as many, and sent ninety away.
+    // Guards against the refusal of nearly every prompt for a whole day: the first holder of the duties took the three engines that it saw in its
+    // first second for all that existed, ordered as many, and removed ninety.
     EngineOrders orders;
     orders.setServices({scaling()});
     TimePoint now(1h);
@@ -254,7 +254,7 @@
     CHECK(orders.goals().front().need == need);
 }
 
-TEST_CASE("how many: a domain may lose its own, and more where they are cheap", "[engines]")
+TEST_CASE("the goal allows for the loss of one domain, and grows where engines are cheap", "[engines]")
 {
     struct Row
     {
@@ -262,7 +262,7 @@
         std::uint32_t maxPerDomain;
         std::uint32_t each;
     };
-    // Ninety engines in three domains: 45 each are enough for two domains.
+    // Ninety engines in three domains: 45 in each are enough for two domains to carry the service.
     for (const Row &row : {Row{0.9, 60, 45}, Row{0.25, 60, 54}, Row{0.22, 60, 60}, Row{0, 100, 100}, Row{0.9, 40, 40}}) {
         EngineOrders orders;
         orders.setServices({{service, 1, row.maxPerDomain, bootTime, row.price}});
@@ -272,31 +272,31 @@
     }
 }
 
-TEST_CASE("a service in one domain, or whose other engines cost no more, is left as it is", "[engines]")
+TEST_CASE("a service in one domain, or whose reclaimable engines cost as much as lasting ones, is left as it is", "[engines]")
 {
     const std::vector<EngineCount> one{{service, domains[0], atStart, 0, 0}};
-    EngineOrders alone;
-    alone.setServices({scaling()});
-    alone.fixGoals(one, TimePoint(1h));
-    CHECK_FALSE(alone.fixGoals(one, TimePoint(2h)));
-    CHECK_FALSE(alone.next(one, TimePoint(1h)));
+    EngineOrders singleDomain;
+    singleDomain.setServices({scaling()});
+    singleDomain.fixGoals(one, TimePoint(1h));
+    CHECK_FALSE(singleDomain.fixGoals(one, TimePoint(2h)));
+    CHECK_FALSE(singleDomain.next(one, TimePoint(1h)));
 
     Platform platform;
-    EngineOrders dear;
+    EngineOrders samePrice;
     ScaledService same = scaling();
     same.reclaimablePrice = 1;
-    dear.setServices({same});
-    fixGoals(dear, platform);
-    CHECK_FALSE(dear.next(platform.counts(), TimePoint(1h)));
-    // One that the configuration does not name any more is not ordered either.
-    dear.setServices({});
-    CHECK_FALSE(dear.next(platform.counts(), TimePoint(1h)));
+    samePrice.setServices({same});
+    fixGoals(samePrice, platform);
+    CHECK_FALSE(samePrice.next(platform.counts(), TimePoint(1h)));
+    // A service that is no longer configured is not ordered either.
+    samePrice.setServices({});
+    CHECK_FALSE(samePrice.next(platform.counts(), TimePoint(1h)));
 }
 
-TEST_CASE("what a holder leaves to the next one reads back, and anything else is nothing", "[engines]")
+TEST_CASE("a duty state reads back as it was written, and malformed text is an empty state", "[engines]")
 {
-    const DutyState note{R"({"through":7})", {{service, need, wantedEach, domains}}};
-    CHECK(parseDutyState(formatDutyState(note)) == note);
+    const DutyState state{R"({"through":7})", {{service, need, goalPerDomain, domains}}};
+    CHECK(parseDutyState(formatDutyState(state)) == state);
     CHECK(parseDutyState("") == DutyState());
     CHECK(parseDutyState(R"({"usage":7})") == DutyState());
 }
--- a/src/duties/usagecounter.h
+++ b/src/duties/usagecounter.h
@@ -1,11 +1,11 @@
 #pragma once
 
-// How many requests of each customer endpoints began in each window of true time, as one host saw them. A decision without I/O.
+// Counts, on one host, the requests of each customer that began at endpoints in each window of true time. Pure decision logic; performs no I/O.
 //
-// A request counts once, in the window in which its first bytes came, whatever becomes of it: that is what the platform is owed. Counts of
-// a window only grow, so they may be told any number of times (usagetotals.h).
+// A request counts once, in the window in which its first bytes arrived, however it ends: the platform bills by that. Counts of a window only grow,
+// so they may be sent any number of times (usagetotals.h).
 //
-// Bounds: maxWindows windows, maxCustomers in each; what is beyond is not counted, and said so by uncounted().
+// Limits: maxWindows windows with maxCustomers customers each; requests beyond that are not counted but reported by uncounted().
 
 #include "base/ids.h"
 #include "fleet/fleetmessage.h"
@@ -17,7 +17,7 @@
 namespace Rhubarbwind
 {
 
-/** Of window lengths: number of the window since 1970. */
+/** Number of the window since 1970, in windows of this length. */
 constexpr std::uint64_t windowAt(std::int64_t unixMs, Duration length)
 {
     return static_cast<std::uint64_t>(unixMs / std::chrono::duration_cast<std::chrono::milliseconds>(length).count());
@@ -28,13 +28,13 @@
 class UsageCounter
 {
 public:
-    explicit UsageCounter(std::uint64_t life)
-        : m_life(life)
+    explicit UsageCounter(std::uint64_t incarnation)
+        : m_incarnation(incarnation)
     {
     }
 
     void began(const CustomerId &customer, std::uint64_t window);
-    /** All that is known from a window on, in parts that each fit one datagram. */
+    /** All counts from a window on, in parts that each fit one datagram. */
     std::vector<SharedUsage> updates(std::uint64_t fromWindow) const;
     std::uint64_t uncounted() const
     {
@@ -45,7 +45,7 @@
     static constexpr std::size_t maxCustomers = 20'000;
 
 private:
-    std::uint64_t m_life;
+    std::uint64_t m_incarnation;
     std::map<std::uint64_t, std::map<std::uint64_t, std::uint32_t>> m_windows; ///< counts by customer, by window
     std::uint64_t m_uncounted = 0;
 };
--- a/src/duties/usagereports.cpp
+++ b/src/duties/usagereports.cpp
@@ -47,13 +47,13 @@
 
 } // namespace
 
-std::string formatUsageState(const UsageState &note)
+std::string formatUsageState(const UsageState &state)
 {
     json::array fixed;
-    for (const UsageReport &report : note.fixed) {
+    for (const UsageReport &report : state.fixed) {
         fixed.push_back(json::object{{"window", report.window}, {"counts", countsJson(report)}});
     }
-    return json::serialize(json::object{{"era", note.era}, {"through", note.through}, {"fixed", std::move(fixed)}});
+    return json::serialize(json::object{{"era", state.era}, {"through", state.through}, {"fixed", std::move(fixed)}});
 }
 
 std::optional<UsageState> parseUsageState(std::string_view text)
@@ -67,35 +67,35 @@
     if (era == nullptr || through == nullptr || fixed == nullptr || !fixed->is_array()) {
         return std::nullopt;
     }
-    UsageState note{era->to_number<std::uint64_t>(error), 0, {}};
+    UsageState state{era->to_number<std::uint64_t>(error), 0, {}};
     if (!error) {
-        note.through = through->to_number<std::uint64_t>(error);
+        state.through = through->to_number<std::uint64_t>(error);
     }
     for (const json::value &entry : fixed->get_array()) {
         std::optional<UsageReport> report = readReport(entry);
         if (!report) {
             return std::nullopt;
         }
-        note.fixed.push_back(std::move(*report));
+        state.fixed.push_back(std::move(*report));
     }
-    return error ? std::nullopt : std::optional(std::move(note));
+    return error ? std::nullopt : std::optional(std::move(state));
 }
 
 void UsageReports::onLeaseHeld(std::uint64_t number, const std::string &acknowledged, std::int64_t nowMs)
 {
-    const std::optional<UsageState> note = parseUsageState(acknowledged);
-    m_acknowledged = note.value_or(UsageState());
+    const std::optional<UsageState> state = parseUsageState(acknowledged);
+    m_acknowledged = state.value_or(UsageState());
     if (number == m_number) {
         return;
     }
     m_number = number;
     m_wanted = m_acknowledged;
-    if (!note || note->era != eraOf(number)) {
-        // Failure: a holder of before had reported a window, and the store has forgotten it. Symptom: a second report with other counts. All
-        // that it can have reported had ended before it lost the lease, and that was before this one was taken. Nor is what an older note has
-        // as fixed believed: it may be a write of the era before that was carried out late, over this era's.
+    if (!state || state->era != eraOf(number)) {
+        // Failure: an earlier holder has reported a window and the store has lost the record. Symptom: a second report with different counts. Every
+        // window that it can have reported ended before it lost its lease, which was before this one was taken. Reports fixed in a state of an
+        // earlier era are not trusted either: it may be a late write of that era, over the state of this one.
         m_wanted = {eraOf(number), windowAt(nowMs, m_options.window), {}};
-        leaveOut(m_wanted.through, SkipReason::NoState);
+        skip(m_wanted.through, SkipReason::NoState);
     }
 }
 
@@ -109,12 +109,12 @@
     if (m_number == 0) {
         return std::nullopt;
     }
-    // After the last moment at which a report could still arrive in time.
+    // Windows whose report could no longer arrive in time.
     while (nowMs > endOf(m_wanted.through + 1) + toMilliseconds(m_options.due)) {
         ++m_wanted.through;
-        leaveOut(m_wanted.through, SkipReason::TooLate);
+        skip(m_wanted.through, SkipReason::TooLate);
     }
-    // Long past its time a report is not sent again; what it fixed holds on by `through`.
+    // A report that is long overdue is not sent again; `through` still keeps its window from being fixed again.
     std::erase_if(m_wanted.fixed, [&](const UsageReport &report) { return nowMs > endOf(report.window) + 2 * toMilliseconds(m_options.due); });
     const std::uint64_t next = m_wanted.through + 1;
     return nowMs >= endOf(next) + toMilliseconds(m_options.settle) ? std::optional(next) : std::nullopt;
@@ -150,7 +150,7 @@
 
 std::vector<std::pair<std::uint64_t, SkipReason>> UsageReports::takeSkipped()
 {
-    return std::exchange(m_leftOut, {});
+    return std::exchange(m_skipped, {});
 }
 
 std::int64_t UsageReports::endOf(std::uint64_t window) const
@@ -158,11 +158,11 @@
     return static_cast<std::int64_t>(window + 1) * toMilliseconds(m_options.window);
 }
 
-void UsageReports::leaveOut(std::uint64_t window, SkipReason why)
+void UsageReports::skip(std::uint64_t window, SkipReason why)
 {
-    constexpr std::size_t mostTold = 16; // after an outage of hours the first few say enough
-    if (m_leftOut.size() < mostTold) {
-        m_leftOut.emplace_back(window, why);
+    constexpr std::size_t maxReported = 16; // after an outage of hours the first few are enough for the log
+    if (m_skipped.size() < maxReported) {
+        m_skipped.emplace_back(window, why);
     }
 }
 
--- a/src/duties/usagetotals.cpp
+++ b/src/duties/usagetotals.cpp
@@ -10,11 +10,11 @@
     if (m_windows.size() >= maxWindows && usage.window < m_windows.begin()->first) {
         return;
     }
-    std::map<std::uint64_t, Counts> &lives = m_windows[usage.window];
-    if (m_entries >= maxEntries && !lives.contains(usage.life)) {
+    std::map<std::uint64_t, Counts> &incarnations = m_windows[usage.window];
+    if (m_entries >= maxEntries && !incarnations.contains(usage.life)) {
         return;
     }
-    Counts &counts = lives[usage.life];
+    Counts &counts = incarnations[usage.life];
     const std::size_t before = counts.size();
     for (const SharedCount &count : usage.counts) {
         std::uint32_t &known = counts[count.customer];
@@ -22,8 +22,8 @@
     }
     m_entries += counts.size() - before;
     while (m_windows.size() > maxWindows) {
-        for (const auto &[life, gone] : m_windows.begin()->second) {
-            m_entries -= gone.size();
+        for (const auto &[incarnation, removed] : m_windows.begin()->second) {
+            m_entries -= removed.size();
         }
         m_windows.erase(m_windows.begin());
     }
@@ -36,7 +36,7 @@
     if (found == m_windows.end()) {
         return sums;
     }
-    for (const auto &[life, counts] : found->second) {
+    for (const auto &[incarnation, counts] : found->second) {
         for (const auto &[customer, begun] : counts) {
             sums[customer] += begun;
         }
--- a/src/placement/lease.cpp
+++ b/src/placement/lease.cpp
@@ -1,4 +1,4 @@
-// One object, one version: each write is conditional on the version last seen, so of two writers one fails.
+// The lease is one object, and each write is conditional on the version last seen, so of two concurrent writers one fails.
 
 #include "placement/lease.h"
 
@@ -15,10 +15,10 @@
 {
 
 constexpr unsigned maxDoublings = 20;
-constexpr std::size_t longestName = 256;
-constexpr std::size_t longestNote = std::size_t{512} * 1024; // half of what the platform's objects may hold
-// Beyond the largest lease an operator could want; keeps a malformed one from blocking a domain for days.
-constexpr Duration longestLease = 10min;
+constexpr std::size_t maxNameLength = 256;
+constexpr std::size_t maxPayloadLength = std::size_t{512} * 1024; // half of the platform's maximum object size
+// Beyond any duration that an operator could want; keeps a malformed lease from blocking a domain for days.
+constexpr Duration maxLeaseDuration = 10min;
 
 std::int64_t toMilliseconds(Duration duration)
 {
@@ -55,12 +55,12 @@
     DocumentFaults faults;
     JsonReader reader(document.value(), "", faults);
     reader.whole("fencing", record.fencing, lowestFencing, std::uint64_t(1) << 62);
-    reader.text("holder", record.holder, longestName, true);
-    reader.text("host", host, longestName, true);
-    reader.text("operation", operation, longestName, true);
-    reader.milliseconds("duration_ms", record.duration, 1ms, longestLease);
+    reader.text("holder", record.holder, maxNameLength, true);
+    reader.text("host", host, maxNameLength, true);
+    reader.text("operation", operation, maxNameLength, true);
+    reader.milliseconds("duration_ms", record.duration, 1ms, maxLeaseDuration);
     reader.flag("released", record.released);
-    reader.text("note", record.payload, longestNote);
+    reader.text("note", record.payload, maxPayloadLength);
     if (!faults.empty() || record.fencing < lowestFencing) {
         return LeaseError::Malformed;
     }
@@ -115,8 +115,8 @@
 std::optional<LeaseCall> LeaseManager::wantedCall(TimePoint now)
 {
     if (!m_needRead && isMine()) {
-        const bool hasNote = now < m_validUntil && m_note != m_known->record.payload;
-        return now >= m_renewAt || hasNote ? write(m_known->record.fencing, false) : std::optional<LeaseCall>();
+        const bool hasNewPayload = now < m_validUntil && m_payload != m_known->record.payload;
+        return now >= m_renewAt || hasNewPayload ? write(m_known->record.fencing, false) : std::optional<LeaseCall>();
     }
     if (!m_needRead && now >= takeOverAt()) {
         const std::uint64_t counted = m_known ? m_known->record.fencing + 1 : 1;
@@ -128,7 +128,7 @@
 void LeaseManager::readDone(const StoredLease &lease, TimePoint now)
 {
     callEnded();
-    if (!noticeEra(eraOf(lease.version), now)) {
+    if (!updateEra(eraOf(lease.version), now)) {
         return;
     }
     m_needRead = false;
@@ -143,7 +143,7 @@
         m_known->record.fencing = lease.version;
     }
     m_seenAt = now;
-    // Writes left open were conditional on an older version: none can take effect any more.
+    // Unresolved writes were conditional on an older version, so none of them can take effect any more.
     const std::optional<TimePoint> openSince = std::exchange(m_openSince, std::nullopt);
     if (isMine() && openSince) {
         becomeHolder(m_known->record.fencing, *openSince, now);
@@ -156,11 +156,11 @@
 void LeaseManager::readMissing(TimePoint now, std::uint64_t era)
 {
     callEnded();
-    if (!noticeEra(era, now)) {
+    if (!updateEra(era, now)) {
         return;
     }
     if (m_options.numbersByVersion && !m_missing) {
-        // What is known of it can't be renewed, and whoever held it may believe so for as long as it lasts.
+        // The known lease can't be renewed any more, and its holder may trust it for its remaining duration.
         m_known.reset();
         m_validUntil = TimePoint();
         m_openSince.reset();
@@ -181,9 +181,9 @@
 void LeaseManager::writeDone(ObjectVersion version, TimePoint now)
 {
     callEnded();
-    // Written in an era before the one that answers, or after the one that was known when it was sent: it may stand on another lease.
+    // The write took effect in an earlier era, or in a newer one than was known when it was sent: it may have replaced another host's lease.
     const std::uint64_t eraBefore = m_era;
-    if (!noticeEra(eraOf(version), now) || m_era != eraBefore) {
+    if (!updateEra(eraOf(version), now) || m_era != eraBefore) {
         m_needRead = true;
         return;
     }
@@ -206,7 +206,7 @@
 {
     callEnded();
     if (m_written.released) {
-        // Failure: the release may have taken effect, and a successor orders at once. Symptom: two holders. The time is given up first.
+        // Failure: the release may have taken effect, and a successor sends orders at once. Symptom: two holders. So the own time is given up first.
         m_validUntil = TimePoint();
     }
     if (kind == PlatformErrorKind::Unknown) {
@@ -233,7 +233,7 @@
         return m_retryAt;
     }
     if (isMine()) {
-        return m_note == m_known->record.payload ? std::max(m_retryAt, m_renewAt) : m_retryAt;
+        return m_payload == m_known->record.payload ? std::max(m_retryAt, m_renewAt) : m_retryAt;
     }
     return std::max(m_retryAt, std::min(m_pollAt, takeOverAt()));
 }
@@ -256,7 +256,7 @@
 
 std::string LeaseManager::agoText(TimePoint time, TimePoint now) const
 {
-    // Beyond the lease's duration nothing depends on it.
+    // Beyond the lease's duration nothing depends on the exact time.
     return std::to_string(toMilliseconds(std::min(now - time, m_options.duration)));
 }
 
@@ -266,19 +266,19 @@
     return m_known && m_known->record.holder == m_options.holder && !m_known->record.released && isOfThisEra;
 }
 
-Duration LeaseManager::wholeWait(Duration duration) const
+Duration LeaseManager::waitWithMargin(Duration duration) const
 {
     return fromSeconds(toSeconds(duration) * (1 + m_options.rateMargin));
 }
 
-// Failure: the store comes back from a copy in which the lease was free, or another's, while its holder acts on. Symptom: two holders.
-// Every holder of before has lost its lease a duration after its last renewal, which was before the era began.
+// Failure: the store comes back from a copy in which the lease was free or held by another, while its holder goes on acting. Symptom: two holders.
+// Every earlier holder's lease has expired one duration after its last renewal, which was before the era began.
 TimePoint LeaseManager::takeOverAt() const
 {
-    const TimePoint eraEnds = m_era == 0 ? TimePoint() : m_eraSince + wholeWait(m_options.duration);
-    const bool neverWas = m_options.isFirstStart && m_era == 0;
-    if (!m_known && m_missing && m_options.numbersByVersion && !neverWas) {
-        return std::max(eraEnds, m_missingSince + wholeWait(m_options.duration));
+    const TimePoint eraEnds = m_era == 0 ? TimePoint() : m_eraSince + waitWithMargin(m_options.duration);
+    const bool neverExisted = m_options.isFirstStart && m_era == 0;
+    if (!m_known && m_missing && m_options.numbersByVersion && !neverExisted) {
+        return std::max(eraEnds, m_missingSince + waitWithMargin(m_options.duration));
     }
     if (!m_known) {
         return m_missing ? TimePoint() : TimePoint::max();
@@ -286,10 +286,10 @@
     if (m_known->record.released) {
         return eraEnds;
     }
-    return std::max(eraEnds, m_seenAt + wholeWait(m_known->record.duration));
+    return std::max(eraEnds, m_seenAt + waitWithMargin(m_known->record.duration));
 }
 
-bool LeaseManager::noticeEra(std::uint64_t era, TimePoint now)
+bool LeaseManager::updateEra(std::uint64_t era, TimePoint now)
 {
     if (era > m_era) {
         m_era = era;
@@ -305,7 +305,7 @@
 
 void LeaseManager::setPayload(std::string payload)
 {
-    m_note = std::move(payload);
+    m_payload = std::move(payload);
 }
 
 const std::string &LeaseManager::heldPayload() const
@@ -317,7 +317,7 @@
 LeaseCall LeaseManager::write(std::uint64_t fencing, bool released)
 {
     const OperationId operation(m_options.holder + "/" + std::to_string(++m_sequence));
-    const std::string payload = isMine() ? m_note : heldPayload();
+    const std::string payload = isMine() ? m_payload : heldPayload();
     m_written = {fencing, m_options.holder, m_options.host, operation, m_options.duration, released, payload};
     return {LeaseCallKind::Write, m_written, m_known ? WriteCondition::atVersion(m_known->version) : WriteCondition::absent()};
 }
@@ -339,7 +339,7 @@
     m_validUntil = since + m_options.duration;
     m_renewAt = since + m_options.renewEvery;
     if (fencing != m_heldFencing) {
-        m_note = m_known->record.payload;
+        m_payload = m_known->record.payload;
         m_heldFencing = fencing;
         m_since = now;
     }
--- a/src/placement/placement_test.cpp
+++ b/src/placement/placement_test.cpp
@@ -11,13 +11,13 @@
 
 using namespace Rhubarbwind;
 
-// As the daemon uses it.
+// Instantiated as the daemon uses it.
 template class Rhubarbwind::PlacementService<SteadyClock, ObjectClient<SteadyClock>, HttpEndpointOrders<SteadyClock>>;
 
 namespace
 {
 
-/** One lease object in memory; the next writes' answers may be lost. */
+/** One lease object in memory; the answer to the next write may be lost. */
 class FakeLeases
 {
 public:
@@ -74,7 +74,7 @@
 
 constexpr Duration loadTime = 5s;
 
-/** Endpoints that load for loadTime and count what they were told. */
+/** Endpoints that load for loadTime and count their orders. */
 class FakeEndpoints
 {
 public:
@@ -125,7 +125,7 @@
 
 constexpr std::size_t endpointCount = 4;
 
-/** Four endpoints of one domain that hold "old"; services are added as hosts come. */
+/** Four endpoints of one domain that hold "old"; each host adds a service. */
 struct Domain
 {
     Domain()
@@ -157,7 +157,7 @@
         for (Duration passed{}; passed < span; passed += 50ms) {
             context.restart();
             context.poll();
-            mostLoading = std::max(mostLoading, orders.loading());
+            maxLoading = std::max(maxLoading, orders.loading());
             ManualClock::advance(50ms);
         }
     }
@@ -173,7 +173,7 @@
     FakeEndpoints orders{context};
     std::vector<OrderedEndpoint> endpoints;
     PlacementRules rules;
-    std::size_t mostLoading = 0;
+    std::size_t maxLoading = 0;
 };
 
 } // namespace
@@ -193,36 +193,36 @@
 
 TEST_CASE("a lease counts from before its write was sent")
 {
-    // The operator sees orders of two owners at once. The holder's write took effect at once but its answer came 10 s late, or was
-    // lost and read back after 10 s. A holder that counted from the answer would believe in its lease when a successor has taken it.
+    // Guards against orders from two owners at once. The holder's write took effect at once, but its answer arrived 10 s late, or was lost and read
+    // back after 10 s. A holder that counted from the answer would still trust its lease when a successor has taken it.
     for (const bool lost : {false, true}) {
         INFO((lost ? "answer lost, read back" : "answer late"));
         LeaseOptions options;
         options.holder = "p";
-        LeaseManager keeper(options);
-        keeper.setWanted(true, true);
+        LeaseManager leaseManager(options);
+        leaseManager.setWanted(true, true);
         Random random(1);
         const TimePoint start(1h);
-        REQUIRE(keeper.nextCall(start)->kind == LeaseCallKind::Read);
-        keeper.readMissing(start);
-        const LeaseRecord written = keeper.nextCall(start)->record;
+        REQUIRE(leaseManager.nextCall(start)->kind == LeaseCallKind::Read);
+        leaseManager.readMissing(start);
+        const LeaseRecord written = leaseManager.nextCall(start)->record;
         const TimePoint answered = start + 10s;
         if (lost) {
-            keeper.writeFailed(PlatformErrorKind::Unknown, answered - 2s, random);
-            REQUIRE(keeper.nextCall(answered)->kind == LeaseCallKind::Read);
-            keeper.readDone({1, written}, answered);
+            leaseManager.writeFailed(PlatformErrorKind::Unknown, answered - 2s, random);
+            REQUIRE(leaseManager.nextCall(answered)->kind == LeaseCallKind::Read);
+            leaseManager.readDone({1, written}, answered);
         } else {
-            keeper.writeDone(1, answered);
+            leaseManager.writeDone(1, answered);
         }
-        CHECK(keeper.view(answered).remaining == 5s);
-        CHECK_FALSE(keeper.view(start + 15s).held);
+        CHECK(leaseManager.view(answered).remaining == 5s);
+        CHECK_FALSE(leaseManager.view(start + 15s).held);
     }
 }
 
 namespace
 {
 
-LeaseManager keeperByVersion(const std::string &holder, bool isFirstStart = false)
+LeaseManager managerByVersion(const std::string &holder, bool isFirstStart = false)
 {
     LeaseOptions options;
     options.holder = holder;
@@ -231,64 +231,64 @@
     options.renewEvery = 1s;
     options.numbersByVersion = true;
     options.isFirstStart = isFirstStart;
-    LeaseManager keeper(options);
-    keeper.setWanted(true, true);
-    return keeper;
+    LeaseManager leaseManager(options);
+    leaseManager.setWanted(true, true);
+    return leaseManager;
 }
 
 } // namespace
 
-TEST_CASE("where a store may come back from a copy, a lease that is missing is waited out, but at the first start of all")
+TEST_CASE("where a store may come back from a copy, a missing lease is waited out, except at the first start of the system")
 {
-    // Two hosts act at once: the store came back from a copy of before the lease was taken, its holder believes in it still, and another
-    // takes it anew. Whoever finds none waits as long as any holder of before could believe.
+    // Guards against two holders: the store came back from a copy made before the lease was taken, its holder still trusts it, and another host takes
+    // it again. A host that finds no lease waits for as long as an earlier holder could trust one.
     const TimePoint start(1h);
     Random random(1);
     const bool isFirstStart = GENERATE(false, true);
-    LeaseManager keeper = keeperByVersion("a", isFirstStart);
-    REQUIRE(keeper.nextCall(start)->kind == LeaseCallKind::Read);
-    keeper.readMissing(start);
-    const std::optional<LeaseCall> call = keeper.nextCall(start + 1s);
+    LeaseManager leaseManager = managerByVersion("a", isFirstStart);
+    REQUIRE(leaseManager.nextCall(start)->kind == LeaseCallKind::Read);
+    leaseManager.readMissing(start);
+    const std::optional<LeaseCall> call = leaseManager.nextCall(start + 1s);
     CHECK((call && call->kind == LeaseCallKind::Write) == isFirstStart);
     if (!isFirstStart) {
-        CHECK(keeper.nextCall(start + 3200ms)->kind == LeaseCallKind::Write);
+        CHECK(leaseManager.nextCall(start + 3200ms)->kind == LeaseCallKind::Write);
     }
-    keeper.writeDone(412, start + 3300ms);
-    CHECK(keeper.view(start + 3300ms).fencing == 412);
-
-    // The store is in its second era, and has no lease: also the first start's host waits, and its number is above all before.
-    REQUIRE(keeper.nextCall(start + 5s)->kind == LeaseCallKind::Write);
-    keeper.writeFailed(PlatformErrorKind::Conflict, start + 5s, random);
-    REQUIRE(keeper.nextCall(start + 6s)->kind == LeaseCallKind::Read);
-    keeper.readMissing(start + 6s, 1);
-    CHECK_FALSE(keeper.view(start + 6s).held);
-    CHECK_FALSE(keeper.nextCall(start + 7s));
-    REQUIRE(keeper.nextCall(start + 9200ms)->kind == LeaseCallKind::Write);
-    keeper.writeDone(versionIn(1, 400), start + 9200ms);
-    CHECK(keeper.view(start + 9200ms).fencing == versionIn(1, 400));
+    leaseManager.writeDone(412, start + 3300ms);
+    CHECK(leaseManager.view(start + 3300ms).fencing == 412);
+
+    // The store is in its second era and has no lease: now the host of the first start waits as well, and its number is above all earlier ones.
+    REQUIRE(leaseManager.nextCall(start + 5s)->kind == LeaseCallKind::Write);
+    leaseManager.writeFailed(PlatformErrorKind::Conflict, start + 5s, random);
+    REQUIRE(leaseManager.nextCall(start + 6s)->kind == LeaseCallKind::Read);
+    leaseManager.readMissing(start + 6s, 1);
+    CHECK_FALSE(leaseManager.view(start + 6s).held);
+    CHECK_FALSE(leaseManager.nextCall(start + 7s));
+    REQUIRE(leaseManager.nextCall(start + 9200ms)->kind == LeaseCallKind::Write);
+    leaseManager.writeDone(versionIn(1, 400), start + 9200ms);
+    CHECK(leaseManager.view(start + 9200ms).fencing == versionIn(1, 400));
 }
 
-TEST_CASE("a write that was meant for one era of the store and answered by the next makes nobody a holder")
+TEST_CASE("a write sent in one era of the store and answered in the next makes nobody a holder")
 {
-    // The store comes back from a copy while a renewal is on its way, and the revision that it names is given out again, for another's lease.
-    // Its writer would hold what the store has as that of another.
+    // The store comes back from a copy while a renewal is in transit, and the revision in its condition is given out again, to another host's lease.
+    // The writer would hold a lease that the store attributes to the other host.
     const TimePoint start(1h);
-    LeaseManager keeper = keeperByVersion("a", true);
-    REQUIRE(keeper.nextCall(start));
-    keeper.readMissing(start);
-    REQUIRE(keeper.nextCall(start)->kind == LeaseCallKind::Write);
-    keeper.writeDone(412, start);
-    REQUIRE(keeper.view(start).held);
-    REQUIRE(keeper.nextCall(start + 1s)->kind == LeaseCallKind::Write);
-    keeper.writeDone(versionIn(1, 413), start + 1s);
-    CHECK_FALSE(keeper.view(start + 1s).held);
-    CHECK(keeper.nextCall(start + 1s)->kind == LeaseCallKind::Read);
+    LeaseManager leaseManager = managerByVersion("a", true);
+    REQUIRE(leaseManager.nextCall(start));
+    leaseManager.readMissing(start);
+    REQUIRE(leaseManager.nextCall(start)->kind == LeaseCallKind::Write);
+    leaseManager.writeDone(412, start);
+    REQUIRE(leaseManager.view(start).held);
+    REQUIRE(leaseManager.nextCall(start + 1s)->kind == LeaseCallKind::Write);
+    leaseManager.writeDone(versionIn(1, 413), start + 1s);
+    CHECK_FALSE(leaseManager.view(start + 1s).held);
+    CHECK(leaseManager.nextCall(start + 1s)->kind == LeaseCallKind::Read);
 }
 
-TEST_CASE("a note goes from holder to holder, and is what the platform acknowledged")
+TEST_CASE("the payload passes from holder to holder, and is what the platform acknowledged")
 {
     const TimePoint start(1h);
-    LeaseManager first = keeperByVersion("a", true);
+    LeaseManager first = managerByVersion("a", true);
     REQUIRE(first.nextCall(start));
     first.readMissing(start);
     REQUIRE(first.nextCall(start));
@@ -296,17 +296,17 @@
     CHECK(first.heldPayload().empty());
     first.setPayload("one");
     CHECK(first.heldPayload().empty());
-    const std::optional<LeaseCall> noted = first.nextCall(start + 10ms);
-    REQUIRE(noted);
-    CHECK(noted->record.payload == "one");
+    const std::optional<LeaseCall> withPayload = first.nextCall(start + 10ms);
+    REQUIRE(withPayload);
+    CHECK(withPayload->record.payload == "one");
     first.writeDone(6, start + 20ms);
     CHECK(first.heldPayload() == "one");
     CHECK(first.view(start + 20ms).fencing == 5);
     CHECK_FALSE(first.nextCall(start + 30ms));
 
-    LeaseManager second = keeperByVersion("b");
+    LeaseManager second = managerByVersion("b");
     REQUIRE(second.nextCall(start + 1s));
-    second.readDone({6, noted->record}, start + 1s);
+    second.readDone({6, withPayload->record}, start + 1s);
     const std::optional<LeaseCall> taken = second.nextCall(start + 5s);
     REQUIRE(taken);
     REQUIRE(taken->kind == LeaseCallKind::Write);
@@ -319,8 +319,8 @@
 
 TEST_CASE("an order that could outlast the lease goes only to endpoints that check its number")
 {
-    // The operator sees an endpoint that ignores numbers fall back to an old model: the order went out just before the lease ended,
-    // or a new owner ordered while one of its predecessor's orders was still on its way.
+    // Guards against an endpoint that ignores fencing numbers returning to an old model: the order was sent just before the lease ended, or a new
+    // owner sent orders while one of its predecessor's was still in transit.
     struct Row
     {
         bool checks;
@@ -344,7 +344,7 @@
     }
 }
 
-TEST_CASE("a change goes step by step and keeps the floor in service")
+TEST_CASE("a change proceeds step by step and keeps the floor in service")
 {
     Domain domain;
     domain.rules.parallelLoads = 4;
@@ -352,7 +352,7 @@
     domain.run(60s);
     CHECK(domain.placed("new") == endpointCount);
     CHECK(domain.orders.orders == endpointCount);
-    CHECK(domain.mostLoading == 1);
+    CHECK(domain.maxLoading == 1);
     CHECK(service->status().at(FailureDomain("d")).placement.settled == endpointCount);
 }
 
@@ -364,13 +364,13 @@
     const std::shared_ptr<TestService> service = domain.addHost("a", {HostId("a")});
     domain.run(60s);
     CHECK(domain.placed("new") == endpointCount);
-    CHECK(domain.mostLoading == 2);
+    CHECK(domain.maxLoading == 2);
 }
 
-TEST_CASE("an order whose answer was lost is looked at before anything is ordered again")
+TEST_CASE("after a lost answer the state is read before anything is ordered again")
 {
-    // The operator sees an endpoint load the same weights twice. The order was carried out and its answer lost; ordered again at
-    // once the endpoint would start over. The state is read once the order's bound has passed, and shows that it was carried out.
+    // Guards against an endpoint loading the same weights twice. The order was carried out and its answer lost; if it were sent again at once the
+    // endpoint would start over. The state is read once the order's bound has passed, and shows that it was carried out.
     Domain domain;
     domain.orders.nextOutcome = OrderOutcome::Unknown;
     const std::shared_ptr<TestService> service = domain.addHost("a", {HostId("a")});
@@ -379,10 +379,10 @@
     CHECK(domain.orders.orders == endpointCount);
 }
 
-TEST_CASE("while the platform is down nothing is ordered after the lease and nothing is undone")
+TEST_CASE("while the platform is down nothing is ordered after the lease expires and nothing is undone")
 {
-    // The operator sees placement change though no host can hold the lease. The platform goes down in the middle of a change; the
-    // owner may go on for as long as its lease lasts, then must stop, and must not undo what was reached.
+    // Guards against placement changes while no host can hold the lease. The platform becomes unavailable in the middle of a change. The owner may
+    // continue while its lease lasts, then must stop, and must not undo what was reached.
     Domain domain;
     const std::shared_ptr<TestService> service = domain.addHost("a", {HostId("a")});
     domain.run(4s);
@@ -402,8 +402,8 @@
 
 TEST_CASE("a lost answer to a lease write is resolved by reading back")
 {
-    // The operator sees no orders for the length of a lease. The write took effect and its answer was lost; an owner that took it
-    // for a failure would wait for its own lease to run out.
+    // Guards against a pause of orders for the length of a lease. The write took effect and its answer was lost; an owner that treated it as a
+    // failure would wait for its own lease to expire.
     Domain domain;
     domain.leases.loseNextAnswer = true;
     const std::shared_ptr<TestService> service = domain.addHost("a", {HostId("a")});
@@ -413,7 +413,7 @@
     CHECK(domain.orders.newestFencing == 1);
 }
 
-TEST_CASE("orders and states travel over HTTP and every failure has its outcome")
+TEST_CASE("orders and states are sent over HTTP and every failure has its outcome")
 {
     struct Row
     {
@@ -458,20 +458,20 @@
     CHECK(outcomes == std::vector<OrderOutcome>{OrderOutcome::NotSent});
 }
 
-TEST_CASE("a successor waits out the lease of an owner that vanished and not that of one that let go")
+TEST_CASE("a successor waits out the lease of an owner that vanished, but not one that was released")
 {
     struct Row
     {
         const char *name;
-        bool letsGo;
+        bool releases;
     };
-    for (const Row &row : {Row{"vanished", false}, Row{"let go", true}}) {
+    for (const Row &row : {Row{"vanished", false}, Row{"gave up the lease", true}}) {
         INFO(row.name);
         Domain domain;
         const std::shared_ptr<TestService> first = domain.addHost("a", {HostId("a")});
         domain.run(60s);
         REQUIRE(domain.placed("new") == endpointCount);
-        if (row.letsGo) {
+        if (row.releases) {
             first->setHosts({});
             domain.run(1s);
         }
@@ -481,7 +481,7 @@
         }
         const std::shared_ptr<TestService> second = domain.addHost("b", {HostId("b")});
         domain.run(14s);
-        CHECK((domain.orders.newestFencing == 2) == row.letsGo);
+        CHECK((domain.orders.newestFencing == 2) == row.releases);
         domain.run(60s);
         CHECK(domain.orders.newestFencing == 2);
         CHECK(domain.placed("newer") == endpointCount);
--- a/src/placement/placementowner.cpp
+++ b/src/placement/placementowner.cpp
@@ -1,6 +1,6 @@
-// A reconcile loop: look at an endpoint, compare with its goal, order at most one change, look again. The
-// stepwise limits are checked one endpoint at a time against what is out of service just then, as in KIP-435's
-// incremental reassignment of replicas; placementmeasure_test.cpp measures it against all at once.
+// A reconcile loop: read an endpoint's state, compare it with the goal, order at most one change, read the state again. The stepwise limits are
+// checked for each endpoint against what is out of service at that time, as in KIP-435's incremental reassignment of replicas.
+// placementmeasure_test.cpp compares it with changing all at once.
 
 #include "placement/placementowner.h"
 
@@ -13,7 +13,7 @@
 namespace
 {
 
-// How often an owner looks for an endpoint that may change when a limit holds the change back.
+// How often a change that a limit holds back is tried again.
 constexpr Duration limitPoll = 200ms;
 // Absorbs rounding in (1 - readyFloor) * size, e.g. 0.25 * 4.
 constexpr double roundingSlack = 1e-9;
@@ -34,16 +34,16 @@
 
 void PlacementOwner::setEndpoints(std::span<const OrderedEndpoint> endpoints)
 {
-    std::map<EndpointId, Target> kept;
+    std::map<EndpointId, Target> updated;
     for (const OrderedEndpoint &endpoint : endpoints) {
         const auto found = m_targets.find(endpoint.id);
-        Target &target = kept[endpoint.id];
+        Target &target = updated[endpoint.id];
         if (found != m_targets.end()) {
             target = std::move(found->second);
         }
         target.endpoint = endpoint;
     }
-    m_targets = std::move(kept);
+    m_targets = std::move(updated);
     applyGoals();
 }
 
@@ -53,12 +53,12 @@
     if (!lease.held) {
         return calls;
     }
-    lookAfresh(lease, now);
+    resetPolls(lease, now);
     for (auto &[id, target] : m_targets) {
         if (!target.hasGoal || target.callUnderWay) {
             continue;
         }
-        if (needsLook(target, lease, now)) {
+        if (needsPoll(target, lease, now)) {
             target.callUnderWay = true;
             target.sentAt = now;
             calls.push_back({PlacementCallKind::ReadState, id, {}});
@@ -81,7 +81,7 @@
     target.stateSentAt = target.sentAt;
     target.changing = placement.loading;
     const bool settled = meetsGoal(placement, target.goal);
-    target.nextLook = now + (settled ? m_options.pollSettled : m_options.pollChanging);
+    target.nextPoll = now + (settled ? m_options.pollSettled : m_options.pollChanging);
 }
 
 void PlacementOwner::stateFailed(const EndpointId &id, TimePoint now)
@@ -92,7 +92,7 @@
     }
     found->second.callUnderWay = false;
     found->second.state.reset();
-    found->second.nextLook = now + m_options.pollChanging;
+    found->second.nextPoll = now + m_options.pollChanging;
 }
 
 bool PlacementOwner::orderDone(const EndpointId &id, OrderOutcome outcome, TimePoint now)
@@ -105,9 +105,9 @@
     }
     Target &target = found->second;
     target.callUnderWay = false;
-    target.nextLook = now + m_options.pollChanging;
+    target.nextPoll = now + m_options.pollChanging;
     if (outcome == OrderOutcome::Unknown) {
-        target.nextLook = std::max(target.nextLook, target.orderOpenUntil);
+        target.nextPoll = std::max(target.nextPoll, target.orderOpenUntil);
     } else {
         target.orderOpenUntil = now;
     }
@@ -135,9 +135,9 @@
         if (!target.hasGoal || target.callUnderWay) {
             continue;
         }
-        const TimePoint look = std::max({target.nextLook, ordersFrom(target, lease), target.orderOpenUntil});
+        const TimePoint pollAt = std::max({target.nextPoll, ordersFrom(target, lease), target.orderOpenUntil});
         const bool heldBack = target.state && !meetsGoal(*target.state, target.goal);
-        wake = std::min(wake, heldBack ? std::min(now + limitPoll, look) : look);
+        wake = std::min(wake, heldBack ? std::min(now + limitPoll, pollAt) : pollAt);
     }
     return wake;
 }
@@ -163,7 +163,7 @@
     for (const auto &[id, target] : m_targets) {
         const TimePoint from = std::max(ordersFrom(target, lease), target.orderOpenUntil);
         line += " " + id.text() + " " + (target.state ? target.state->model + (target.state->loading ? " loading" : "") : "unknown")
-            + (target.stateSentAt >= from ? " fresh" : " old") + " look " + untilText(target.nextLook) + " orders " + untilText(from)
+            + (target.stateSentAt >= from ? " fresh" : " old") + " look " + untilText(target.nextPoll) + " orders " + untilText(from)
             + (target.callUnderWay ? " calling" : "") + (target.changing ? " changing" : "") + " open " + untilText(target.orderOpenUntil);
     }
     return line;
@@ -174,9 +174,9 @@
     return target.endpoint.checksFencing ? lease.since : lease.since + m_options.orderBound;
 }
 
-bool PlacementOwner::needsLook(const Target &target, const LeaseView &lease, TimePoint now) const
+bool PlacementOwner::needsPoll(const Target &target, const LeaseView &lease, TimePoint now) const
 {
-    return now >= target.nextLook && now >= std::max(ordersFrom(target, lease), target.orderOpenUntil);
+    return now >= target.nextPoll && now >= std::max(ordersFrom(target, lease), target.orderOpenUntil);
 }
 
 bool PlacementOwner::mayOrder(const Target &target, const LeaseView &lease, TimePoint now) const
@@ -185,8 +185,8 @@
     if (!target.state || target.stateSentAt < from || target.changing || meetsGoal(*target.state, target.goal)) {
         return false;
     }
-    // Failure: an owner paused beyond its lease orders what its successor has already changed. Symptom: an endpoint that ignores
-    // fencing numbers goes back to an old model. The order must have ended before the lease does.
+    // Failure: an owner that was paused beyond its lease orders what its successor has already changed. Symptom: an endpoint that ignores fencing
+    // numbers returns to an old model. The order must have ended before the lease does.
     const bool outlasts = lease.remaining > m_options.orderBound + m_options.margin;
     return now >= from && (target.endpoint.checksFencing || outlasts) && target.state->fencing <= lease.fencing;
 }
@@ -199,7 +199,7 @@
     return loading() < m_rules.parallelLoads && keepsFloor(target) && m_loads.tryTake(1, now);
 }
 
-bool PlacementOwner::isOut(const Target &target) const
+bool PlacementOwner::isOutOfService(const Target &target) const
 {
     return !target.state || target.changing;
 }
@@ -216,7 +216,7 @@
     for (const auto &[id, other] : m_targets) {
         if (other.hasGoal && poolOf(other) == poolOf(target)) {
             ++size;
-            out += isOut(other) ? 1 : 0;
+            out += isOutOfService(other) ? 1 : 0;
         }
     }
     const double allowed = std::floor((1.0 - m_rules.readyFloor) * static_cast<double>(size) + roundingSlack);
@@ -238,14 +238,14 @@
     return {PlacementCallKind::SendOrder, target.endpoint.id, {lease.fencing, target.goal}};
 }
 
-void PlacementOwner::lookAfresh(const LeaseView &lease, TimePoint now)
+void PlacementOwner::resetPolls(const LeaseView &lease, TimePoint now)
 {
     if (lease.since == m_leaseSince) {
         return;
     }
     m_leaseSince = lease.since;
     for (auto &[id, target] : m_targets) {
-        target.nextLook = now;
+        target.nextPoll = now;
     }
 }
 
--- a/src/placement/placementowner.h
+++ b/src/placement/placementowner.h
@@ -1,24 +1,23 @@
 #pragma once
 
-// The placement owner of one failure domain, as a decision without I/O: which order goes to which endpoint, and when.
+// The placement owner of one failure domain: decides which order goes to which endpoint, and when. Pure decision logic; performs no I/O.
 //
-// What it promises:
-//   - Orders go out only while the lease is held and carry its fencing number. An endpoint that checks numbers
-//     refuses a former owner's order, so nothing more is needed for it.
-//   - For an endpoint that ignores numbers, an order goes out only if the lease lasts longer than the order's time bound
-//     and a margin, so the order has ended, one way or the other, before anybody else may hold the lease. A new owner waits one
-//     bound more, reads the endpoint's state after that, and only then orders. What remains: a process that is paused between
-//     its last look at the clock and the write to the socket. Its late order is found at the next look at the state
-//     and put right, since orders state the wanted end.
-//   - Stepwise: of the endpoints that serve a model in this domain, at least the part readyFloor stays in service, but one
-//     may always go, or a pool of one could never change; at most parallelLoads load at once; loads start no faster
-//     than the domain's part of the weight store's rate. An endpoint whose state is not known counts as out of service.
-//   - Without the lease nothing is sent, and what runs is left as it is: so it is when the platform is down.
+// Guarantees:
+//   - Orders are sent only while the lease is held and carry its fencing number. An endpoint that checks numbers refuses a former owner's order and
+//     needs no further protection.
+//   - An endpoint that ignores numbers gets an order only if the lease lasts longer than the order's time bound and a margin, so the order has taken
+//     effect or failed before another host can hold the lease. A new owner waits for one more bound, reads the endpoint's state after that, and only
+//     then sends orders. Not covered: a process that is paused between its last read of the clock and the write to the socket. Its late order is
+//     detected at the next poll of the state and corrected, since orders state the wanted result.
+//   - Stepwise: of the endpoints that serve a model in this domain, at least the share readyFloor stays in service, but one may always be taken out,
+//     since otherwise a pool of one could never change; at most parallelLoads load at once; loads start no faster than the domain's share of the
+//     weight store's rate. An endpoint whose state is unknown counts as out of service.
+//   - Without the lease nothing is sent and the running placement is left as it is. The same holds while the platform is unavailable.
 //
 // An order whose answer was lost may take effect until its bound has passed; the state is read after that.
 //
-// Use: setRules(), setEndpoints(), then nextCalls() with the lease's view; each call is answered by exactly one of
-// stateDone(), stateFailed() and orderDone(). Cost: a pass over the domain's endpoints a call.
+// Use: setRules(), setEndpoints(), then nextCalls() with the lease's view; each call is answered by exactly one of stateDone(), stateFailed() and
+// orderDone(). Cost: one pass over the domain's endpoints per call.
 
 #include "base/tokenbucket.h"
 #include "placement/lease.h"
@@ -32,7 +31,7 @@
 
 enum class ChangeMode : std::uint8_t {
     Stepwise,
-    AllAtOnce, ///< every endpoint at once: a baseline to measure against
+    AllAtOnce, ///< every endpoint at once: a baseline for measurements
 };
 
 struct PlacementOptions
@@ -40,9 +39,9 @@
     ChangeMode mode = ChangeMode::Stepwise;
     Duration orderBound = 2s; ///< after this an order that was sent no longer takes effect
     Duration margin = 1s; ///< by which the lease must outlast an order's bound
-    Duration pollChanging = 1s; ///< between looks at an endpoint that changes
-    Duration pollSettled = 15s; ///< between looks at one that holds what it should
-    double loadsPerSecond = 0.2; ///< this domain's part of the weight store's rate
+    Duration pollChanging = 1s; ///< between polls of an endpoint that changes
+    Duration pollSettled = 15s; ///< between polls of an endpoint that meets its goal
+    double loadsPerSecond = 0.2; ///< this domain's share of the weight store's rate
     double loadBurst = 2; ///< loads that may start together
 };
 
@@ -63,7 +62,7 @@
     std::size_t endpoints = 0;
     std::size_t settled = 0;
     std::size_t changing = 0;
-    std::size_t unknown = 0; ///< state not read since the lease was won, or not readable
+    std::size_t unknown = 0; ///< state not read since the lease was acquired, or not readable
     std::uint64_t orders = 0;
     std::uint64_t staleNumbers = 0;
 };
@@ -81,16 +80,16 @@
     std::vector<PlacementCall> nextCalls(const LeaseView &lease, TimePoint now);
     void stateDone(const EndpointId &id, const EndpointPlacement &placement, TimePoint now);
     void stateFailed(const EndpointId &id, TimePoint now);
-    /** True when the outcome casts doubt on the lease: call LeaseManager::invalidate(). */
+    /** @return true when the outcome means that the lease may be lost: call LeaseManager::invalidate() */
     bool orderDone(const EndpointId &id, OrderOutcome outcome, TimePoint now);
 
-    /** True when there is anything to look after, so that the lease is worth holding. */
+    /** True when any endpoint has a goal, so that the lease is needed. */
     bool hasGoals() const;
     /** False while an order may still take effect. */
     bool mayRelease(TimePoint now) const;
     TimePoint wakeAt(const LeaseView &lease, TimePoint now) const;
     PlacementStatus status() const;
-    /** What decides the next steps under this lease, on one line: for the debug log and for searches. Times are in ms from now. */
+    /** The state that determines the next steps under this lease, on one line: for the debug log and for searches. Times are in ms from now. */
     std::string describe(const LeaseView &lease, TimePoint now) const;
 
 private:
@@ -100,25 +99,25 @@
         PlacementGoal goal;
         bool hasGoal = false;
         std::optional<EndpointPlacement> state;
-        TimePoint stateSentAt; ///< when the look was sent that brought the state
-        TimePoint nextLook;
+        TimePoint stateSentAt; ///< when the poll that returned the state was sent
+        TimePoint nextPoll;
         bool callUnderWay = false;
         TimePoint sentAt;
-        bool changing = false; ///< ordered, and not yet seen to be ready again
+        bool changing = false; ///< ordered, and not reported ready since
         TimePoint orderOpenUntil; ///< until then the last order may still take effect
     };
 
     TimePoint ordersFrom(const Target &target, const LeaseView &lease) const;
-    bool needsLook(const Target &target, const LeaseView &lease, TimePoint now) const;
+    bool needsPoll(const Target &target, const LeaseView &lease, TimePoint now) const;
     bool mayOrder(const Target &target, const LeaseView &lease, TimePoint now) const;
     bool mayLoad(const Target &target, TimePoint now);
-    bool isOut(const Target &target) const;
+    bool isOutOfService(const Target &target) const;
     const std::string &poolOf(const Target &target) const;
     bool keepsFloor(const Target &target) const;
     std::size_t loading() const;
     PlacementCall order(Target &target, const LeaseView &lease, TimePoint now);
-    /** Under a new lease nothing known from before counts. */
-    void lookAfresh(const LeaseView &lease, TimePoint now);
+    /** A new lease makes every endpoint due for a poll: earlier states no longer count. */
+    void resetPolls(const LeaseView &lease, TimePoint now);
     void applyGoals();
 
     PlacementOptions m_options;
--- a/src/placement/placementsearch_test.cpp
+++ b/src/placement/placementsearch_test.cpp
@@ -1,6 +1,6 @@
-// Two owners of one failure domain, every step chosen by the search: writes and their answers, time, pauses (an owner
-// that takes no step) and orders on their way to one endpoint. An owner wants its own model, so there is always
-// something to order. Harm is an order of an older fencing number that takes effect after one of a newer number.
+// Exhaustive search over the steps of two owners of one failure domain: writes and their answers, time, pauses (an owner that takes no step) and
+// orders in transit to one endpoint. Each owner wants its own model, so there is always something to order. The violation is an order with an older
+// fencing number that takes effect after one with a newer number.
 
 #include "placement/placementowner.h"
 
@@ -18,25 +18,25 @@
 
 constexpr Duration tick = 1s;
 constexpr std::size_t ownerCount = 2;
-// A search that reaches it is reported as cut off and fails.
+// A search that reaches this limit is reported as cut off and fails.
 constexpr std::size_t stateLimit = 2'000'000;
 
 struct Bounds
 {
-    bool checks = true; ///< the endpoint refuses old numbers, and an order may arrive however late
-    bool ownersBelieveItChecks = true;
-    Duration orderBound = 2s; ///< within it an order takes effect at an endpoint that ignores numbers, or never
+    bool checks = true; ///< the endpoint refuses old numbers; orders may then arrive arbitrarily late
+    bool ownersAssumeChecks = true;
+    Duration orderBound = 2s; ///< an order to an endpoint that ignores numbers takes effect within it or never
     Duration ownersOrderBound = 2s; ///< what the owners assume
     unsigned ticks = 12;
     unsigned lostAnswers = 1;
-    bool startHeld = false; ///< start where the first owner has just won the lease and the second one has seen it
+    bool startHeld = false; ///< start when the first owner has just acquired the lease and the second one has seen it
 };
 
 enum class StepKind : std::uint8_t {
-    Act, ///< the owner sends what it wants to send now
-    Write, ///< the platform carries the owner's write out
+    Act, ///< the owner sends what is due now
+    Write, ///< the platform carries out the owner's write
     Deliver, ///< the owner gets the answer
-    Lose, ///< the answer is lost; a write not carried out yet still may be
+    Lose, ///< the answer is lost; a write not carried out yet may still be
     LateWrite,
     Arrive, ///< an order takes effect, or is refused
     Tick,
@@ -84,10 +84,10 @@
             lease.pollEvery = 2 * tick;
             lease.rateMargin = 0;
             lease.retryFirst = 0ms;
-            m_keepers.emplace_back(lease);
-            m_keepers.back().setWanted(true, true);
+            m_leaseManagers.emplace_back(lease);
+            m_leaseManagers.back().setWanted(true, true);
             m_owners.emplace_back(options, m_now);
-            m_owners.back().setEndpoints(std::array{OrderedEndpoint{EndpointId("e"), {}, "", 0, bounds.ownersBelieveItChecks}});
+            m_owners.back().setEndpoints(std::array{OrderedEndpoint{EndpointId("e"), {}, "", 0, bounds.ownersAssumeChecks}});
             m_owners.back().setRules({{PlacementGoal{EndpointId("e"), "m" + std::to_string(index), "", {}, "serve"}}, 0, 1});
         }
         if (bounds.startHeld) {
@@ -103,7 +103,7 @@
     {
         std::vector<Step> steps;
         for (std::size_t owner = 0; owner < ownerCount; ++owner) {
-            // Owners are alike at first, so the first one acts first.
+            // Both owners start alike, so it is enough to search runs in which the first one acts first.
             if ((owner == 0 || m_started) && hasWork(owner)) {
                 steps.push_back({StepKind::Act, owner});
             }
@@ -136,7 +136,7 @@
             perform(*m_flights[step.index]);
             break;
         case StepKind::Deliver:
-            deliver(m_keepers[step.index], *std::exchange(m_flights[step.index], std::nullopt));
+            deliver(m_leaseManagers[step.index], *std::exchange(m_flights[step.index], std::nullopt));
             break;
         case StepKind::Lose: {
             --m_bounds.lostAnswers;
@@ -144,7 +144,7 @@
             if (!flight.done) {
                 m_lateWrites.push_back(flight);
             }
-            m_keepers[step.index].writeFailed(PlatformErrorKind::Unknown, m_now, m_random);
+            m_leaseManagers[step.index].writeFailed(PlatformErrorKind::Unknown, m_now, m_random);
             break;
         }
         case StepKind::LateWrite:
@@ -169,7 +169,8 @@
     {
         std::string text = leaseText(m_lease) + m_placed + " " + std::to_string(m_newest) + " ticks " + std::to_string(m_bounds.ticks);
         for (std::size_t owner = 0; owner < ownerCount; ++owner) {
-            text += leaseText(m_keepers[owner].known()) + m_keepers[owner].describe(m_now) + m_owners[owner].describe(m_keepers[owner].view(m_now), m_now);
+            text += leaseText(m_leaseManagers[owner].known()) + m_leaseManagers[owner].describe(m_now)
+                + m_owners[owner].describe(m_leaseManagers[owner].view(m_now), m_now);
             text += m_flights[owner] ? flightText(*m_flights[owner]) : "-";
         }
         for (const Flight &late : m_lateWrites) {
@@ -184,7 +185,7 @@
     }
 
 private:
-    /** Versions only matter by being equal or not, so they are counted from the newest. */
+    /** Only the equality of versions matters, so they are counted from the newest. */
     std::string versionText(ObjectVersion version) const
     {
         return std::to_string(m_lease ? m_lease->version - version : 0);
@@ -201,22 +202,22 @@
 
     bool hasWork(std::size_t owner) const
     {
-        LeaseManager keeper = m_keepers[owner];
+        LeaseManager leaseManager = m_leaseManagers[owner];
         PlacementOwner placement = m_owners[owner];
-        return keeper.nextCall(m_now).has_value() || !placement.nextCalls(keeper.view(m_now), m_now).empty();
+        return leaseManager.nextCall(m_now).has_value() || !placement.nextCalls(leaseManager.view(m_now), m_now).empty();
     }
 
     void act(std::size_t owner)
     {
         m_started = true;
-        if (const std::optional<LeaseCall> call = m_keepers[owner].nextCall(m_now)) {
+        if (const std::optional<LeaseCall> call = m_leaseManagers[owner].nextCall(m_now)) {
             m_flights[owner] = Flight{*call, false, false, std::nullopt};
             if (call->kind == LeaseCallKind::Read) {
-                // That a read is answered late matters; when it was carried out on its way does not.
+                // A late answer to a read matters; the time at which the platform carried it out does not.
                 perform(*m_flights[owner]);
             }
         }
-        for (const PlacementCall &call : m_owners[owner].nextCalls(m_keepers[owner].view(m_now), m_now)) {
+        for (const PlacementCall &call : m_owners[owner].nextCalls(m_leaseManagers[owner].view(m_now), m_now)) {
             if (call.kind == PlacementCallKind::ReadState) {
                 m_owners[owner].stateDone(call.endpoint, {m_placed, "", {}, "serve", false, m_bounds.checks ? m_newest : 0}, m_now);
             } else {
@@ -240,16 +241,16 @@
         }
     }
 
-    void deliver(LeaseManager &keeper, const Flight &flight)
+    void deliver(LeaseManager &leaseManager, const Flight &flight)
     {
         if (flight.call.kind == LeaseCallKind::Write && flight.conflict) {
-            keeper.writeFailed(PlatformErrorKind::Conflict, m_now, m_random);
+            leaseManager.writeFailed(PlatformErrorKind::Conflict, m_now, m_random);
         } else if (flight.call.kind == LeaseCallKind::Write) {
-            keeper.writeDone(flight.seen->version, m_now);
+            leaseManager.writeDone(flight.seen->version, m_now);
         } else if (flight.seen) {
-            keeper.readDone(*flight.seen, m_now);
+            leaseManager.readDone(*flight.seen, m_now);
         } else {
-            keeper.readMissing(m_now);
+            leaseManager.readMissing(m_now);
         }
     }
 
@@ -259,7 +260,7 @@
         m_orders.erase(m_orders.begin() + static_cast<std::ptrdiff_t>(index));
         if (m_bounds.checks && order.order.fencing < m_newest) {
             if (m_owners[order.owner].orderDone(EndpointId("e"), OrderOutcome::StaleNumber, m_now)) {
-                m_keepers[order.owner].invalidate();
+                m_leaseManagers[order.owner].invalidate();
             }
             return;
         }
@@ -269,7 +270,7 @@
         (void)m_owners[order.owner].orderDone(EndpointId("e"), OrderOutcome::Accepted, m_now);
     }
 
-    /** Time passes; an order to an endpoint that ignores numbers has ended by its bound. */
+    /** Advances time; an order to an endpoint that ignores numbers has ended by its bound. */
     void advance()
     {
         --m_bounds.ticks;
@@ -289,7 +290,7 @@
     Bounds m_bounds;
     TimePoint m_now{1h};
     Random m_random{1};
-    std::vector<LeaseManager> m_keepers;
+    std::vector<LeaseManager> m_leaseManagers;
     std::vector<PlacementOwner> m_owners;
     std::array<std::optional<Flight>, ownerCount> m_flights;
     std::vector<Flight> m_lateWrites;
@@ -334,10 +335,10 @@
 
 } // namespace
 
-TEST_CASE("no order of steps of two owners lets an old order take effect")
+TEST_CASE("no interleaving of two owners lets an old order take effect")
 {
-    // The operator sees an endpoint fall back to the model that was wanted before. The owner is paused beyond its lease with an
-    // order about to go out, or its renewal's answer is lost; a successor takes over and orders. Then the former order arrives.
+    // Guards against an endpoint returning to the previously wanted model. The owner is paused beyond its lease with an order about to be sent, or
+    // its renewal's answer is lost; a successor takes over and sends orders; then the former order arrives.
     const SearchResult checking = search("endpoint checks numbers, lost answer", {true, true, 2s, 2s, 4, 1, true});
     CHECK(checking.safe);
     CHECK(checking.complete);
@@ -346,9 +347,9 @@
     CHECK(ignoring.complete);
 }
 
-TEST_CASE("no order of steps over a longer time lets an old order take effect", "[.search]")
+TEST_CASE("no interleaving of two owners over a longer time lets an old order take effect", "[.search]")
 {
-    // As above, from a state without a lease and over more time: too long for every run.
+    // As above, over more time and also from a state without a lease; too slow for every run.
     for (const Bounds &bounds : {Bounds{true, true, 2s, 2s, 7, 1, true}, Bounds{false, false, 2s, 2s, 7, 1, true}, Bounds{true, true, 2s, 2s, 4, 1, false}}) {
         const SearchResult result = search(bounds.checks ? "endpoint checks numbers" : "endpoint ignores numbers", bounds);
         CHECK(result.safe);
@@ -356,7 +357,7 @@
     }
 }
 
-TEST_CASE("the search finds owners without their fence")
+TEST_CASE("the search finds the violation when a safeguard is removed")
 {
     CHECK_FALSE(search("mutant: nobody checks the number", {false, true, 2s, 2s, 4, 0, true}).safe);
     CHECK_FALSE(search("mutant: the order's bound is ignored", {false, false, 2s, 0s, 4, 0, true}).safe);
--- a/src/placement/placementservice.h
+++ b/src/placement/placementservice.h
@@ -1,14 +1,14 @@
 #pragma once
 
-// One host's part in placement: for every failure domain that rendezvous hashing gives to it, hold the domain's lease and
-// bring its endpoints to what the preset wants.
+// One host's part in placement: for every failure domain that rendezvous hashing assigns to it, holds the domain's lease and brings its endpoints to
+// what the preset wants.
 //
-// What it promises: see LeaseManager and PlacementOwner. Orders to endpoints need the lease; the platform being down
-// therefore stops new orders once the lease has run out, and leaves the running placement alone.
+// Guarantees: see LeaseManager and PlacementOwner. Orders to endpoints need the lease. An unavailable platform therefore stops new orders once the
+// lease has expired, and leaves the running placement alone.
 //
-// Use: create with std::make_shared, then setHosts(), setEndpoints() and setRules() whenever they change, in any
-// order; stop() at the end. The object API, the orders and the event loop must outlive it.
-// Cost: one platform write a domain and renewal on its owner; other hosts make no calls.
+// Use: create with std::make_shared, then call setHosts(), setEndpoints() and setRules() whenever they change, in any order; stop() at the end. The
+// object API, the orders and the event loop must outlive it.
+// Cost: one write to the platform per domain and renewal on the owner; other hosts make no calls.
 
 #include "base/rendezvous.h"
 #include "base/requestid.h"
@@ -30,7 +30,7 @@
     HostId self;
     LeaseOptions lease; ///< holder and host are filled in
     PlacementOptions placement;
-    std::uint64_t seed = 0; ///< of the back-off's jitter; 0: a fresh one
+    std::uint64_t seed = 0; ///< for the backoff's jitter; 0: random
 };
 
 struct DomainStatus
@@ -66,7 +66,7 @@
         schedulePump();
     }
 
-    /** All live endpoints of all domains that take orders. */
+    /** All live endpoints of all domains that accept orders. */
     void setEndpoints(std::span<const OrderedEndpoint> endpoints)
     {
         std::map<FailureDomain, std::vector<OrderedEndpoint>> byDomain;
@@ -97,7 +97,7 @@
     {
         std::map<FailureDomain, DomainStatus> status;
         for (const auto &[domain, duty] : m_duties) {
-            status[domain] = {duty.keeper.view(ClockType::now()), duty.owner.status()};
+            status[domain] = {duty.leaseManager.view(ClockType::now()), duty.owner.status()};
         }
         return status;
     }
@@ -111,7 +111,7 @@
 private:
     struct Duty
     {
-        LeaseManager keeper;
+        LeaseManager leaseManager;
         PlacementOwner owner;
     };
 
@@ -144,14 +144,14 @@
         for (auto &[domain, duty] : m_duties) {
             const TimePoint now = ClockType::now();
             const bool wanted = duty.owner.hasGoals() && rendezvousOwner(m_live, placementDuty(domain)) == m_options.self;
-            duty.keeper.setWanted(wanted, duty.owner.mayRelease(now));
-            if (const std::optional<LeaseCall> call = duty.keeper.nextCall(now)) {
+            duty.leaseManager.setWanted(wanted, duty.owner.mayRelease(now));
+            if (const std::optional<LeaseCall> call = duty.leaseManager.nextCall(now)) {
                 startLeaseCall(domain, *call);
             }
-            for (const PlacementCall &call : duty.owner.nextCalls(duty.keeper.view(now), now)) {
+            for (const PlacementCall &call : duty.owner.nextCalls(duty.leaseManager.view(now), now)) {
                 startPlacementCall(domain, call);
             }
-            wake = std::min({wake, duty.keeper.wakeAt(), duty.owner.wakeAt(duty.keeper.view(now), now)});
+            wake = std::min({wake, duty.leaseManager.wakeAt(), duty.owner.wakeAt(duty.leaseManager.view(now), now)});
         }
         armTimer(wake);
     }
@@ -171,28 +171,28 @@
 
     void finishRead(const FailureDomain &domain, const PlatformResult<StoredObject> &result)
     {
-        LeaseManager &keeper = m_duties.at(domain).keeper;
+        LeaseManager &leaseManager = m_duties.at(domain).leaseManager;
         const TimePoint now = ClockType::now();
         if (!result && result.error().kind == PlatformErrorKind::NotFound) {
-            keeper.readMissing(now);
+            leaseManager.readMissing(now);
         } else if (!result) {
-            keeper.readFailed(now, m_random);
+            leaseManager.readFailed(now, m_random);
         } else if (const Result<LeaseRecord, LeaseError> record = parseLease(result.value().value); record) {
-            keeper.readDone({result.value().version, record.value()}, now);
+            leaseManager.readDone({result.value().version, record.value()}, now);
         } else {
-            m_log.error("cannot read the lease of " + domain.text() + "; no orders go out");
-            keeper.readFailed(now, m_random);
+            m_log.error("cannot read the lease of " + domain.text() + "; no orders are sent");
+            leaseManager.readFailed(now, m_random);
         }
         schedulePump();
     }
 
     void finishWrite(const FailureDomain &domain, const PlatformResult<ObjectVersion> &result)
     {
-        LeaseManager &keeper = m_duties.at(domain).keeper;
+        LeaseManager &leaseManager = m_duties.at(domain).leaseManager;
         if (result) {
-            keeper.writeDone(result.value(), ClockType::now());
+            leaseManager.writeDone(result.value(), ClockType::now());
         } else {
-            keeper.writeFailed(result.error().kind, ClockType::now(), m_random);
+            leaseManager.writeFailed(result.error().kind, ClockType::now(), m_random);
         }
         schedulePump();
     }
@@ -231,7 +231,7 @@
         Duty &duty = m_duties.at(domain);
         if (duty.owner.orderDone(id, outcome, ClockType::now())) {
             m_log.warn("the fencing number of " + domain.text() + " is old");
-            duty.keeper.invalidate();
+            duty.leaseManager.invalidate();
         }
         schedulePump();
     }
--- a/src/platform/objectclient.cpp
+++ b/src/platform/objectclient.cpp
@@ -26,7 +26,7 @@
     return "/v1/watch?prefix=" + percentEncoded(prefix) + "&after=" + std::to_string(after) + "&wait_ms=" + std::to_string(waitMs);
 }
 
-/** The events that a watch would have given, as far as a listing shows them. */
+/** The events that a watch would have returned, as far as a listing shows them. */
 PlatformResult<WatchBatch> batchFromListing(const ObjectListing &listing, std::uint64_t after)
 {
     WatchBatch batch;
--- a/src/platform/platformanswer.cpp
+++ b/src/platform/platformanswer.cpp
@@ -1,5 +1,5 @@
-// Each reader first sorts by status, then reads the body field by field; a field that is missing or of the wrong
-// type spoils the whole answer. Half a listing is never handed on: a caller could take it for the truth.
+// Each reader first distinguishes by status, then reads the body field by field. A field that is missing or of the wrong type invalidates the whole
+// answer. A partial listing is never returned: a caller could take it for complete.
 
 #include "platform/platformanswer.h"
 
@@ -25,7 +25,7 @@
 constexpr unsigned statusServerErrors = 500;
 constexpr unsigned statusClientErrors = 400;
 
-/** What a status other than the expected ones says. Only 4xx promises that nothing was done. */
+/** The meaning of an unexpected status. Only 4xx guarantees that nothing was done. */
 PlatformError errorOf(unsigned status)
 {
     if (status == statusNotFound) {
@@ -42,7 +42,7 @@
     return {PlatformErrorKind::Unknown, 0};
 }
 
-/** Reads typed fields of one object; `ok` falls when any is missing or of another type. */
+/** Reads typed fields of one object; ok() becomes false when any is missing or of another type. */
 class AnswerReader
 {
 public:
@@ -68,12 +68,12 @@
         return std::string(found->begin(), found->end());
     }
 
-    std::uint64_t number(std::string_view key, std::uint64_t most = std::numeric_limits<std::uint64_t>::max())
+    std::uint64_t number(std::string_view key, std::uint64_t maximum = std::numeric_limits<std::uint64_t>::max())
     {
         const json::value *value = find(key);
         json::error_code error;
         const std::uint64_t found = value == nullptr || value->is_double() ? 0 : value->to_number<std::uint64_t>(error);
-        if (value == nullptr || value->is_double() || error || found > most) {
+        if (value == nullptr || value->is_double() || error || found > maximum) {
             m_ok = false;
             return 0;
         }
@@ -145,7 +145,7 @@
     return event;
 }
 
-/** Fields that only some roles have may be missing; those that are there must be right. */
+/** Fields that only some roles have may be missing; those that are present must be valid. */
 ListedHost readHost(AnswerReader &reader)
 {
     ListedHost host;
@@ -172,7 +172,7 @@
     return value;
 }
 
-/** Reads an answer that lists items. @param next where to go on; null when the answer tells none */
+/** Reads an answer that lists items. @param next where to continue; null if the answer has no such field */
 template <class Item, class Read>
 std::optional<PlatformError> readListing(const HttpAnswer &answer, std::string_view key, std::vector<Item> &items, Read read, std::uint64_t *next)
 {
@@ -286,10 +286,10 @@
 std::string percentEncoded(std::string_view text)
 {
     constexpr std::string_view digits = "0123456789ABCDEF";
-    constexpr std::string_view kept = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._~/";
+    constexpr std::string_view unreserved = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-._~/";
     std::string out;
     for (const char c : text) {
-        if (kept.find(c) != std::string_view::npos) {
+        if (unreserved.find(c) != std::string_view::npos) {
             out += c;
             continue;
         }
--- a/src/platform/resolvedwrite_test.cpp
+++ b/src/platform/resolvedwrite_test.cpp
@@ -28,7 +28,7 @@
         written.push_back(request.value);
         return revision;
     }
-    /** A put whose answer nobody hears. */
+    /** A put whose answer nobody receives. */
     void arrive(const WriteRequest &request)
     {
         static_cast<void>(put(request));
@@ -60,9 +60,8 @@
 
 } // namespace
 
-// The operator sees "unknown" turn into a plain answer. First the write takes effect, then its answer is lost,
-// then the object is read back and holds the operation. Without the read back the operator would repeat a
-// change that stands, or give up one that does.
+// Guards against repeating a change that took effect, or abandoning one that did. The write takes effect, its answer is lost, and the object read
+// back holds the operation.
 TEST_CASE("a write whose answer was lost after its effect is found applied")
 {
     LossyObject store;
@@ -77,7 +76,7 @@
     CHECK(write.result().version == 1);
 }
 
-TEST_CASE("each first answer of a write leads to its next step")
+TEST_CASE("each answer to the first write leads to its next step")
 {
     struct Row
     {
@@ -96,7 +95,7 @@
     CHECK(write.onWritten(error<ObjectVersion>(row.kind), TimePoint(1h)).kind == row.next);
 }
 
-TEST_CASE("when time runs out the result says whether anything was sent")
+TEST_CASE("on timeout the result states whether anything was sent")
 {
     const TimePoint late(2h);
     ResolvedWrite unsent = writer("mine", WriteCondition::absent());
@@ -110,9 +109,8 @@
     CHECK(sent.result().outcome == WriteOutcome::Unresolved);
 }
 
-// Two writers replace the same version; every put may be lost before or after its effect, and a lost one may
-// still arrive later. Whatever happens, at most one of the two values takes effect, and a writer that is told
-// Applied or Lost is told the truth.
+// Two writers replace the same version. Every put may be lost before or after its effect, and a lost one may still arrive later. At most one of the
+// two values takes effect, and a writer's result Applied or Lost is correct.
 TEST_CASE("two writers with lost and late puts never both win")
 {
     rc::prop("one winner, truthful results", [] {
