--- a/src/duties/dutysearch_test.cpp
+++ b/src/duties/dutysearch_test.cpp
@@ -57,7 +57,7 @@
     TimePoint sentAt{};
     TimePoint arrivesAt{};
     bool isAnswerLost = false;
-    bool isGivenUp = false; ///< by its host
+    bool isAbandoned = false; ///< by its host
 };
 
 struct Host
@@ -324,12 +324,12 @@
                 checkArrival(call);
             }
             const bool isAnswered = m_now >= call.arrivesAt && !call.isAnswerLost;
-            if (!call.isGivenUp && (isAnswered || m_now - call.sentAt >= callBound)) {
-                call.isGivenUp = true;
+            if (!call.isAbandoned && (isAnswered || m_now - call.sentAt >= callBound)) {
+                call.isAbandoned = true;
                 answer(call, isAnswered);
             }
         }
-        std::erase_if(m_calls, [this](const ApiFlight &call) { return m_now >= call.arrivesAt && call.isGivenUp; });
+        std::erase_if(m_calls, [this](const ApiFlight &call) { return m_now >= call.arrivesAt && call.isAbandoned; });
     }
 
     std::int64_t nowMs() const
--- a/src/duties/engineorders.h
+++ b/src/duties/engineorders.h
@@ -98,7 +98,7 @@
     {
         m_services = std::move(services);
     }
-    /** The duty was taken over: only the goals of earlier orders are known. */
+    /** The duty was taken over: nothing is known of earlier orders except the goals. */
     void begin(std::vector<EngineGoal> goals);
     /** Determines the goals of services that have none yet, once the listed engines have been stable. @return true if there are new goals */
     bool fixGoals(std::span<const EngineCount> counts, TimePoint now);
