--- a/src/arbiter/arbiterimpl.h
+++ b/src/arbiter/arbiterimpl.h
@@ -236,7 +236,7 @@
 template <EndpointChooser Pool>
 void Arbiter<Pool>::refuseWithoutEndpoint(TimePoint now)
 {
-    if (m_pool.hasTakers()) {
+    if (m_pool.hasActiveEndpoints()) {
         m_withoutEndpointSince.reset();
         return;
     }
@@ -262,7 +262,7 @@
 template <EndpointChooser Pool>
 bool Arbiter<Pool>::mayGrant(TimePoint now)
 {
-    const std::size_t free = m_pool.freePlaces(now);
+    const std::size_t free = m_pool.freeSlots(now);
     if (free == 0 || m_permits.size() >= m_options.permitLimit) {
         return false;
     }
@@ -447,7 +447,7 @@
     const QueuedTicket &next = *m_order.nextInTurn()->queued;
     const Permit *victim = m_permits.bestVictim();
     const bool urgent = next.due - now <= m_options.preemptionSlack;
-    if (!victim || !urgent || m_pool.freePlaces(now) > 0) {
+    if (!victim || !urgent || m_pool.freeSlots(now) > 0) {
         return;
     }
     // One order for each request that waits above the victim, so none when all wait in its tier or below; the freed
--- a/src/arbiter/arbiterproperty_test.cpp
+++ b/src/arbiter/arbiterproperty_test.cpp
@@ -287,7 +287,7 @@
         RC_ASSERT(status.queued == count(State::Waiting));
         RC_ASSERT(status.running == count(State::Running));
         RC_ASSERT(m_pool.totalUsed() == status.running);
-        RC_ASSERT((status.queued == 0 || status.collecting || m_pool.freePlaces(m_now) == 0));
+        RC_ASSERT((status.queued == 0 || status.collecting || m_pool.freeSlots(m_now) == 0));
     }
 
     void checkMessage(Known &known, const Grant &grant)
--- a/src/gateway/endingwatch.cpp
+++ b/src/gateway/endingwatch.cpp
@@ -72,7 +72,7 @@
     return "no answer";
 }
 
-void EndingWatch::broke(const BoardEndpoint &endpoint, std::size_t endpoints, const BrokenSend &send, TimePoint now)
+void EndingWatch::broke(const SelectorEndpoint &endpoint, std::size_t endpoints, const BrokenSend &send, TimePoint now)
 {
     const auto [entry, isNew] = m_breaks.try_emplace(endpoint.id);
     if (isNew) {
--- a/src/gateway/endingwatch.h
+++ b/src/gateway/endingwatch.h
@@ -58,7 +58,7 @@
 
 struct EndpointBreak
 {
-    BoardEndpoint endpoint; ///< as it was listed when the connection broke
+    SelectorEndpoint endpoint; ///< as it was listed when the connection broke
     TimePoint at; ///< of the first break
     BreakVerdict verdict = BreakVerdict::Unknown;
     BreakEvidence evidence = BreakEvidence::NoAnswer;
@@ -88,7 +88,7 @@
     }
 
     /** @param endpoints of its service */
-    void broke(const BoardEndpoint &endpoint, std::size_t endpoints, const BrokenSend &send, TimePoint now);
+    void broke(const SelectorEndpoint &endpoint, std::size_t endpoints, const BrokenSend &send, TimePoint now);
     /** To be called some forty times a second. */
     void tick(TimePoint now, ConnectionPool &pool);
     void stop();
--- a/src/gateway/endingwatch_test.cpp
+++ b/src/gateway/endingwatch_test.cpp
@@ -22,9 +22,9 @@
         watch.onVerdict([this](const EndpointBreak &seen) { verdicts.push_back(seen); });
     }
 
-    BoardEndpoint endpoint() const
+    SelectorEndpoint endpoint() const
     {
-        BoardEndpoint listed;
+        SelectorEndpoint listed;
         listed.id = EndpointId("e1");
         listed.ip = "127.0.0.1";
         listed.port = m_port;
@@ -146,7 +146,7 @@
         queued.back()->async_connect(full.local_endpoint(), [](boost::system::error_code) {});
     }
     idle.run_for(50ms);
-    BoardEndpoint dark = watched.endpoint();
+    SelectorEndpoint dark = watched.endpoint();
     dark.port = full.local_endpoint().port();
     watched.watch.broke(dark, 12, {RequestId("r1"), CustomerId("acme"), {1, 2}, 3, watched.now}, watched.now);
     watched.pass(600ms);
--- a/src/routing/adaptivelimit_test.cpp
+++ b/src/routing/adaptivelimit_test.cpp
@@ -117,7 +117,7 @@
     {
         m_sinceCut += 1;
         if (sample.interToken <= fromSeconds(m_options.aim * toSeconds(m_options.interTokenTarget))) {
-            m_limit = std::min(m_limit + 1 / m_limit, m_options.mostPerSlot * m_slots);
+            m_limit = std::min(m_limit + 1 / m_limit, m_options.maxPerSlot * m_slots);
         } else if (m_sinceCut >= m_limit) {
             m_limit = std::max(1.0, m_limit * 0.9);
             m_sinceCut = 0;
@@ -172,7 +172,7 @@
         const StepTime step{20ms, rise};
         BusyEngine<AdaptiveLimit> busy(AdaptiveLimit(options, 16), 11);
         busy.run(step, 600s, options.interTokenTarget, 0);
-        const double best = std::min(step.batchAt(aim), options.mostPerSlot * 16);
+        const double best = std::min(step.batchAt(aim), options.maxPerSlot * 16);
         CAPTURE(toSeconds(rise), best, busy.limit());
         REQUIRE(busy.limit() >= 0.75 * best - 1);
         REQUIRE(busy.limit() <= 1.25 * best + 1);
@@ -200,7 +200,7 @@
             const std::uint32_t before = limit.limit();
             limit.observe({*rc::gen::inRange(0, 200) / 2.0, Duration(*rc::gen::inRange<std::int64_t>(0, 2'000'000'000)), 1ms * *rc::gen::inRange(0, 9000)});
             RC_ASSERT(limit.limit() >= 1U);
-            RC_ASSERT(limit.limit() <= options.mostPerSlot * slots);
+            RC_ASSERT(limit.limit() <= options.maxPerSlot * slots);
             // A sample asks for at most the double of a batch of 100, and takes one part in `limit` of the way.
             RC_ASSERT((limit.limit() + 1 >= before - before / 4 && limit.limit() <= before + 200 / before + 1));
         }
--- a/src/routing/choicemeasure_test.cpp
+++ b/src/routing/choicemeasure_test.cpp
@@ -380,7 +380,7 @@
 EndpointPoolOptions withoutPrefixes()
 {
     EndpointPoolOptions options;
-    options.mostDigests = 0;
+    options.maxDigests = 0;
     return options;
 }
 
@@ -389,7 +389,7 @@
     EndpointPoolOptions options;
     options.limit.interTokenTarget = 10s;
     options.limit.firstTokenSlack = 1h;
-    options.limit.mostPerSlot = 1;
+    options.limit.maxPerSlot = 1;
     return options;
 }
 
--- a/src/routing/endpointpool.cpp
+++ b/src/routing/endpointpool.cpp
@@ -74,7 +74,7 @@
                  EndpointLoad(m_options.reportWindow, now),
                  AdaptiveLimit(m_options.limit, endpoint.slots),
                  EndpointSpeed(m_options.speed),
-                 FailureWait(m_options.firstFailureWait, m_options.mostFailureWait),
+                 FailureWait(m_options.firstFailureWait, m_options.maxFailureWait),
                  {},
                  {},
                  now};
@@ -144,7 +144,7 @@
 {
     member.limit = AdaptiveLimit(m_options.limit, member.endpoint.slots);
     member.speed = EndpointSpeed(m_options.speed);
-    member.failures = FailureWait(m_options.firstFailureWait, m_options.mostFailureWait);
+    member.failures = FailureWait(m_options.firstFailureWait, m_options.maxFailureWait);
     member.reportsReuse = false;
 }
 
@@ -192,7 +192,7 @@
 
 std::uint32_t EndpointPool::loadOf(TimePoint now, const Member &member) const
 {
-    return member.load.inFlight() + member.load.elsewhere(now);
+    return member.load.inFlight() + member.load.externalLoad(now);
 }
 
 EndpointObstacle EndpointPool::obstacle(TimePoint now, const Member &member, std::uint64_t neededTokens) const
@@ -214,7 +214,7 @@
 
 std::span<const std::uint64_t> EndpointPool::leading(std::span<const std::uint64_t> digests) const
 {
-    return digests.first(std::min(digests.size(), m_options.mostDigests));
+    return digests.first(std::min(digests.size(), m_options.maxDigests));
 }
 
 std::optional<EndpointChoice> EndpointPool::choose(TimePoint now, const EndpointQuery &query) const
@@ -448,7 +448,7 @@
     return std::clamp<std::size_t>(static_cast<std::size_t>(left / m_meanTokens), 1, places);
 }
 
-std::size_t EndpointPool::freePlaces(TimePoint now) const
+std::size_t EndpointPool::freeSlots(TimePoint now) const
 {
     std::size_t places = 0;
     for (const auto &[id, member] : m_members) {
@@ -457,7 +457,7 @@
     return places;
 }
 
-bool EndpointPool::hasTakers() const
+bool EndpointPool::hasActiveEndpoints() const
 {
     return std::any_of(m_members.begin(), m_members.end(), [this](const auto &entry) { return stateOf(m_lastEvent, entry.second) == EndpointState::Live; });
 }
@@ -494,7 +494,7 @@
         one.state = stateOf(now, member);
         one.limit = limitInForce(now, member);
         one.inFlight = member.load.inFlight();
-        one.elsewhere = member.load.elsewhere(now);
+        one.externalLoad = member.load.externalLoad(now);
         one.reservedTokens = member.load.reservedTokens();
         one.speed = member.speed.speed(now, m_medianSlowdown);
         one.straggler = member.speed.straggler();
--- a/src/routing/endpointpool.h
+++ b/src/routing/endpointpool.h
@@ -75,7 +75,7 @@
     Duration warmUp = 10s; ///< from coldShare of the limit to all of it
     double coldShare = 0.25;
     Duration firstFailureWait = 1s;
-    Duration mostFailureWait = 30s;
+    Duration maxFailureWait = 30s;
     Duration trialAge = 2s; ///< work that has run this long on trial shows that the endpoint is up
     Duration reportWindow = 3s; ///< load reports count for this long
     Duration prefillPerToken = 200us; ///< until enough first tokens were seen
@@ -83,7 +83,7 @@
     Duration serviceRise = 100ms; ///< of a plain service's answer time, likewise
     double streamWeight = 0.1; ///< seconds of late first token that one second of longer stream is worth
     std::uint32_t blockTokens = 64; ///< prompt tokens in one cache block, at about 4 bytes a token
-    std::size_t mostDigests = 256; ///< digests of a prompt that are looked at: 64 KB of text
+    std::size_t maxDigests = 256; ///< digests of a prompt that are looked at: 64 KB of text
 };
 
 /** Why an endpoint would get no work now. */
@@ -103,7 +103,7 @@
     EndpointState state = EndpointState::Live; ///< marks included
     std::uint32_t limit = 0; ///< in force now: the adaptive limit with all cuts
     std::uint32_t inFlight = 0;
-    std::uint32_t elsewhere = 0; ///< work of others, by its reports
+    std::uint32_t externalLoad = 0; ///< work of others, by its reports
     std::uint64_t reservedTokens = 0; ///< prompt and estimated output of the work in flight
     double speed = 1.0; ///< relative to the pool's median
     bool straggler = false;
@@ -125,8 +125,8 @@
     /** Endpoints that are not listed any more are gone; their work in flight stays counted until it is freed. */
     void update(TimePoint now, std::span<const Endpoint> endpoints);
     /** Places for work of usual size; zero exactly when choose() would take no work of any size. */
-    std::size_t freePlaces(TimePoint now) const;
-    bool hasTakers() const;
+    std::size_t freeSlots(TimePoint now) const;
+    bool hasActiveEndpoints() const;
 
     void loadReport(TimePoint now, const LoadReport &report);
     void cacheEvent(TimePoint now, const CacheEvent &event);
--- a/src/routing/endpointpool_test.cpp
+++ b/src/routing/endpointpool_test.cpp
@@ -230,7 +230,7 @@
         query.prefixDigests = digests;
         query.avoid = avoid;
         const std::optional<EndpointChoice> choice = m_pool.choose(m_now, query);
-        RC_ASSERT((m_pool.freePlaces(m_now) > 0 || !choice));
+        RC_ASSERT((m_pool.freeSlots(m_now) > 0 || !choice));
         if (!choice) {
             return;
         }
@@ -339,9 +339,9 @@
 {
     EndpointPool pool({}, start);
     pool.reserve(start, {idOf(0), 100, 100}, {});
-    REQUIRE_FALSE(pool.hasTakers());
+    REQUIRE_FALSE(pool.hasActiveEndpoints());
     pool.update(start, engines(1, 2));
-    REQUIRE(pool.freePlaces(start) == 1);
+    REQUIRE(pool.freeSlots(start) == 1);
 }
 
 // A retry runs into the endpoint that just failed it. First one attempt fails there, then the retry names it
@@ -533,8 +533,8 @@
     pool.update(start, engines(1));
     pool.reserve(start, {idOf(0), 9, 9}, {});
     pool.free(start + 1s, {idOf(0), 9, 9}, {0ms, 0ms, 0, 0, true});
-    REQUIRE(pool.freePlaces(start + 1s) == 0);
-    REQUIRE(pool.freePlaces(start + 2s) == 8);
+    REQUIRE(pool.freeSlots(start + 1s) == 0);
+    REQUIRE(pool.freeSlots(start + 2s) == 8);
 }
 
 TEST_CASE("hop cost decides between equals, not against a long queue")
@@ -605,14 +605,14 @@
     pool.update(start, engines(1, 8));
     const Reservation own = take(pool, start, queryOf());
     pool.loadReport(start + 1s, {idOf(0), 1, 0, 0, 1s});
-    REQUIRE(statusOf(pool, start + 1s, idOf(0)).elsewhere == 0);
+    REQUIRE(statusOf(pool, start + 1s, idOf(0)).externalLoad == 0);
     pool.free(start + 1s, own, sampleOf(40ms));
     pool.loadReport(start + 2s, {idOf(0), 1, 0, 0, 1s});
-    REQUIRE(statusOf(pool, start + 2s, idOf(0)).elsewhere == 0);
+    REQUIRE(statusOf(pool, start + 2s, idOf(0)).externalLoad == 0);
     pool.loadReport(start + 2s, {idOf(0), 7, 0, 0, 1s});
-    REQUIRE(statusOf(pool, start + 2s, idOf(0)).elsewhere == 6);
-    REQUIRE(pool.freePlaces(start + 2s) == 2);
-    REQUIRE(pool.freePlaces(start + 6s) == 8);
+    REQUIRE(statusOf(pool, start + 2s, idOf(0)).externalLoad == 6);
+    REQUIRE(pool.freeSlots(start + 2s) == 2);
+    REQUIRE(pool.freeSlots(start + 6s) == 8);
 }
 
 TEST_CASE("plain services are taken by load and hop cost, and a slow one gets less")
