--- a/src/gateway/endingwatch.h
+++ b/src/gateway/endingwatch.h
@@ -14,7 +14,7 @@
 
 #include "base/time.h"
 #include "gateway/connectionpool.h"
-#include "placing/endpointboard.h"
+#include "placing/endpointselector.h"
 #include "quarantine/requestidentity.h"
 
 #include <boost/asio/io_context.hpp>
