--- a/src/routing/adaptivelimit_test.cpp
+++ b/src/routing/adaptivelimit_test.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/** Every step takes `idle + rise x batch` and gives each stream of the batch one token. */
+/** Every step takes `idle + rise x batch` and yields one token for each stream of the batch. */
 struct StepTime
 {
     Duration idle = 20ms;
@@ -29,11 +29,11 @@
 struct RunFigures
 {
     double tokensPerSecond = 0;
-    double lateTokens = 0; ///< part of the tokens that came later than the target after the one before
+    double lateTokens = 0; ///< fraction of the tokens whose inter-token time exceeded the target
     double settledAfter = -1; ///< seconds until the limit stayed within a fifth of the best one
 };
 
-/** An engine that always has as much work as the limit lets in; lengths are log-normal with a median of 150 tokens. */
+/** An engine that always has as much work as the limit admits; lengths are log-normal with a median of 150 tokens. */
 template <class Limit>
 class BusyEngine
 {
@@ -77,7 +77,7 @@
 private:
     struct Stream
     {
-        double tokensLeft = 0;
+        double tokensRemaining = 0;
         double tokens = 0;
         double seconds = 0;
         double batchSum = 0;
@@ -86,15 +86,15 @@
     void advance(double batch, double took)
     {
         for (Stream &stream : m_streams) {
-            stream.tokensLeft -= 1;
+            stream.tokensRemaining -= 1;
             stream.tokens += 1;
             stream.seconds += took;
             stream.batchSum += batch;
-            if (stream.tokensLeft <= 0) {
+            if (stream.tokensRemaining <= 0) {
                 m_limit.observe({stream.batchSum / stream.tokens, fromSeconds(stream.seconds / stream.tokens), {}});
             }
         }
-        std::erase_if(m_streams, [](const Stream &stream) { return stream.tokensLeft <= 0; });
+        std::erase_if(m_streams, [](const Stream &stream) { return stream.tokensRemaining <= 0; });
     }
 
     Limit m_limit;
@@ -102,7 +102,7 @@
     std::vector<Stream> m_streams;
 };
 
-/** The rival: one more place for each limit's worth of good samples, a tenth less at a late one, once a limit's worth. */
+/** The alternative: additive increase by one per `limit` good samples, decrease by a tenth at a late one, at most once per `limit` samples. */
 class AdditiveLimit
 {
 public:
@@ -161,9 +161,8 @@
 
 } // namespace
 
-// The caller sees tokens later than the target. First the engine is given a batch that its hardware can't
-// sustain, as many as its nominal slots, then each token of every stream is late. Without the limit's feedback
-// all later work joins the same crowded batch; with it the batch shrinks to what the target allows.
+// Guards against tokens later than the target: the engine gets a batch that its hardware can't sustain, as large as its nominal slots, and every token of
+// every stream is late. Without feedback all later work joins the same batch; with it the batch shrinks to what the target allows.
 TEST_CASE("the limit settles where the engine meets the target, from above and from below")
 {
     const AdaptiveLimitOptions options;
@@ -179,8 +178,8 @@
     }
 }
 
-// The caller sees late first tokens while token times are fine: the engine holds work back inside itself,
-// where the order of classes does not reach. Then the limit must fall, or the queue stays inside the engine.
+// Guards against late first tokens while token times are good: the engine queues work internally, where the order of classes does not apply. The limit must
+// fall, or the queue stays inside the engine.
 TEST_CASE("first tokens late beyond the prompt's own prefill lower the limit")
 {
     AdaptiveLimit limit(AdaptiveLimitOptions{}, 16);
@@ -201,15 +200,14 @@
             limit.observe({*rc::gen::inRange(0, 200) / 2.0, Duration(*rc::gen::inRange<std::int64_t>(0, 2'000'000'000)), 1ms * *rc::gen::inRange(0, 9000)});
             RC_ASSERT(limit.limit() >= 1U);
             RC_ASSERT(limit.limit() <= options.maxPerSlot * slots);
-            // A sample asks for at most the double of a batch of 100, and takes one part in `limit` of the way.
+            // A sample aims at no more than double a batch of 100, and covers 1 / limit of the distance.
             RC_ASSERT((limit.limit() + 1 >= before - before / 4 && limit.limit() <= before + 200 / before + 1));
         }
     });
 }
 
-// Callers of a higher tier wait behind lower ones inside an engine whose slots are full, while tokens come
-// fast. First good token times draw the limit up, then the engine reports work that waits. Without a ceiling
-// the next good samples draw the limit up again at once.
+// Guards against callers of a higher tier waiting behind lower ones inside an engine whose slots are full while token times are good. Good token times raise
+// the limit, then the engine reports waiting work. Without a ceiling the next good samples would raise the limit again at once.
 TEST_CASE("an engine that queues bounds the limit to what it runs")
 {
     AdaptiveLimit limit(AdaptiveLimitOptions{}, 16);
@@ -220,9 +218,9 @@
     };
     observeGood(400);
     REQUIRE(limit.limit() == 24);
-    limit.engineQueues(18);
+    limit.reportEngineQueue(18);
     REQUIRE(limit.limit() == 18);
-    limit.engineQueues(3);
+    limit.reportEngineQueue(3);
     REQUIRE(limit.limit() == 18);
     observeGood(400);
     REQUIRE(limit.limit() == 18);
--- a/src/routing/choicemeasure_test.cpp
+++ b/src/routing/choicemeasure_test.cpp
@@ -1,8 +1,6 @@
-// One experiment in virtual time: how long callers wait for the first token when 12 engines of 16 slots, of
-// which one becomes a straggler, are chosen by the pool's score, by least load on lagged reports at 8 hosts
-// that do not know of each other, or in turn. The engine model is the smallest that has the effects in
-// question: a batch whose step grows with its size, prefill that holds the batch up, a prefix cache, an own
-// queue beyond its slots.
+// One experiment in virtual time: how long callers wait for the first token when 12 engines of 16 slots, of which one becomes a straggler, are chosen by
+// the pool's score, by least load on lagged reports at 8 hosts that do not know of each other, or in turn. The engine model is the smallest one that has
+// the effects under test: a batch whose step grows with its size, prefill that delays the batch, a prefix cache, and a queue of its own beyond its slots.
 
 #include "base/random.h"
 #include "routing/endpointpool.h"
@@ -24,12 +22,12 @@
 constexpr std::size_t engineCount = 12;
 constexpr std::size_t hostCount = 8;
 constexpr std::uint32_t engineSlots = 16;
-constexpr std::uint32_t sharedTokens = 2048; ///< of a prompt, the same for all requests of a kind
+constexpr std::uint32_t sharedTokens = 2048; ///< of a prompt, the same for all requests of one kind
 constexpr std::uint32_t blockTokens = 64;
 constexpr std::size_t promptKinds = 40;
-constexpr std::size_t cachedKinds = 12; ///< that one engine's cache holds
+constexpr std::size_t cachedKinds = 12; ///< capacity of one engine's cache
 constexpr double idleStep = 0.020; ///< seconds
-constexpr double stepRise = 0.003; ///< seconds a stream of the batch
+constexpr double stepRise = 0.003; ///< seconds per stream of the batch
 constexpr double prefillToken = 0.0002; ///< seconds
 constexpr std::uint32_t prefillChunk = 512; ///< tokens a step
 constexpr double reportInterval = 1.0; ///< seconds between load reports
@@ -45,7 +43,7 @@
     double firstToken = -1;
     std::size_t kind = 0;
     std::uint32_t promptTokens = 0;
-    std::uint32_t toCompute = 0; ///< prompt tokens left to prefill
+    std::uint32_t toCompute = 0; ///< prompt tokens that remain to be prefilled
     std::uint32_t reused = 0;
     std::uint32_t length = 0;
     std::uint32_t done = 0;
@@ -79,7 +77,7 @@
         m_factor = factor;
     }
 
-    /** Ends the step that is due; the finished work. */
+    /** Ends the step that is due. @return the finished work */
     std::vector<Work> step(double now)
     {
         std::vector<Work> finished;
@@ -154,7 +152,7 @@
     return best[random.below(best.size())];
 }
 
-/** Each host sends at once: to the least loaded by the last report and its own sends since. */
+/** Each host sends at once, to the engine with the least load by the last report and the host's own sends since. */
 class ReportChoice
 {
 public:
@@ -194,17 +192,17 @@
 public:
     void arrive(double now, const Work &work, Engines &engines)
     {
-        engines[m_turn++ % engines.size()].send(now, work);
+        engines[m_reservationCount++ % engines.size()].send(now, work);
     }
     void finish(double, std::size_t, const Work &, Engines &)
     {
     }
 
 private:
-    std::size_t m_turn = 0;
+    std::size_t m_reservationCount = 0;
 };
 
-/** One queue in order of arrival before the pool. */
+/** One queue in order of arrival in front of the pool. */
 class PoolChoice
 {
 public:
@@ -307,7 +305,7 @@
 
 struct Sums
 {
-    std::vector<double> firstTokens; ///< seconds from arrival, after the straggler set in
+    std::vector<double> firstTokens; ///< seconds from arrival, for work that arrived after the slowdown began
     double reused = 0;
     double tokens = 0;
     double tokensInTime = 0; ///< of streams whose mean inter-token time met the target
--- a/src/routing/endpointpool.cpp
+++ b/src/routing/endpointpool.cpp
@@ -1,6 +1,5 @@
-// A full scan with a score for each endpoint, rather than the power of two choices: a shard has about 50
-// endpoints and one arbiter that knows its own load exactly, so the scan is cheap and sees the best one. Two
-// random choices pay off where the load seen is stale and shared by many choosers; here it is neither.
+// A full scan with a score for each endpoint, rather than the power of two choices: a shard has about 50 endpoints and one arbiter that knows its own load
+// exactly, so the scan is cheap and finds the best one. Two random choices pay off if the load is stale and shared by many choosers; neither is so here.
 
 #include "routing/endpointpool.h"
 
@@ -14,12 +13,12 @@
 namespace
 {
 
-// About how many finished pieces of work a fitted line remembers.
+// Approximate number of finished pieces of work that a fitted line covers.
 constexpr double lineMemory = 200;
 // Weight of a new reservation in the mean size.
 constexpr double sizeGain = 0.05;
-// Marks for endpoints that were never listed: more would be a fault of the sender.
-constexpr std::size_t mostMembers = 1024;
+// Bounds the marks for endpoints that were never listed; more of them would be a fault of the sender.
+constexpr std::size_t maxMembers = 1024;
 
 std::uint64_t tokensOf(std::uint32_t promptTokens, std::uint32_t estimatedTokens)
 {
@@ -86,20 +85,20 @@
     m_lastEvent = now;
     std::map<EndpointId, Endpoint> listed;
     for (const Endpoint &endpoint : endpoints) {
-        const auto [place, isNew] = listed.emplace(endpoint.id, endpoint);
-        // Listed twice, as during a handover of the list: the later state wins.
-        if (!isNew && place->second.state < endpoint.state) {
-            place->second = endpoint;
+        const auto [entry, isNew] = listed.emplace(endpoint.id, endpoint);
+        // An endpoint may be listed twice during a handover of the list; the later state counts.
+        if (!isNew && entry->second.state < endpoint.state) {
+            entry->second = endpoint;
         }
     }
     for (auto &[id, member] : m_members) {
         const auto found = listed.find(id);
-        if (found == listed.end() || found->second.state == EndpointState::Gone) {
+        if (found == listed.end() || found->second.state == EndpointState::Removed) {
             unlist(member);
         }
     }
     for (const auto &[id, endpoint] : listed) {
-        if (endpoint.state != EndpointState::Gone) {
+        if (endpoint.state != EndpointState::Removed) {
             list(now, endpoint);
         }
     }
@@ -159,7 +158,7 @@
 void EndpointPool::markLeaving(TimePoint now, const EndpointId &endpoint)
 {
     m_lastEvent = now;
-    if (find(endpoint) == nullptr && m_members.size() >= mostMembers) {
+    if (find(endpoint) == nullptr && m_members.size() >= maxMembers) {
         return;
     }
     member(now, endpoint).mark.mark(now + m_options.leavingMemory);
@@ -168,7 +167,7 @@
 EndpointState EndpointPool::stateOf(TimePoint now, const Member &member) const
 {
     if (!member.listed) {
-        return EndpointState::Gone;
+        return EndpointState::Removed;
     }
     return member.mark.inForce(now) ? EndpointState::Leaving : member.endpoint.state;
 }
@@ -199,7 +198,7 @@
 {
     const EndpointState state = stateOf(now, member);
     if (state != EndpointState::Live) {
-        return state == EndpointState::Gone ? EndpointObstacle::Gone : EndpointObstacle::Leaving;
+        return state == EndpointState::Removed ? EndpointObstacle::Removed : EndpointObstacle::Leaving;
     }
     if (member.failures.waiting(now)) {
         return EndpointObstacle::Failing;
@@ -226,15 +225,15 @@
         if (obstacle(now, member, neededTokens) != EndpointObstacle::None) {
             continue;
         }
-        Candidate candidate = weigh(now, query, member, match);
-        if (!best || goesBefore(candidate, *best)) {
+        Candidate candidate = evaluate(now, query, member, match);
+        if (!best || ranksBefore(candidate, *best)) {
             best = std::move(candidate);
         }
     }
     return best ? std::optional(best->choice) : std::nullopt;
 }
 
-EndpointPool::Candidate EndpointPool::weigh(TimePoint now, const EndpointQuery &query, const Member &member, const PrefixIndex::Match &match) const
+EndpointPool::Candidate EndpointPool::evaluate(TimePoint now, const EndpointQuery &query, const Member &member, const PrefixIndex::Match &match) const
 {
     Candidate candidate;
     EndpointChoice &choice = candidate.choice;
@@ -248,13 +247,13 @@
     choice.speed = member.speed.speed(now, m_medianSlowdown);
     candidate.score = toSeconds(choice.expectedWait + choice.hopCost + choice.expectedPrefill) / choice.speed;
     candidate.use = static_cast<double>(loadOf(now, member)) / limitInForce(now, member);
-    candidate.lastTurn = member.lastTurn;
+    candidate.lastReservationNumber = member.lastReservationNumber;
     candidate.avoided = std::find(query.avoid.begin(), query.avoid.end(), member.endpoint.id) != query.avoid.end();
     candidate.probe = member.speed.straggler() && member.load.inFlight() == 0 && now - member.lastTaken >= m_options.speed.probeInterval;
     return candidate;
 }
 
-bool EndpointPool::goesBefore(const Candidate &left, const Candidate &right)
+bool EndpointPool::ranksBefore(const Candidate &left, const Candidate &right)
 {
     if (left.avoided != right.avoided) {
         return right.avoided;
@@ -268,7 +267,7 @@
     if (left.use != right.use) {
         return left.use < right.use;
     }
-    return left.lastTurn < right.lastTurn;
+    return left.lastReservationNumber < right.lastReservationNumber;
 }
 
 double EndpointPool::expectedWait(TimePoint now, const EndpointQuery &query, const Member &member) const
@@ -304,9 +303,9 @@
     }
     member.load.begin(now, reservation, {digests.begin(), digests.end()}, expectedBlocks);
     member.lastTaken = now;
-    member.lastTurn = ++m_turn;
+    member.lastReservationNumber = ++m_reservationCount;
     const auto tokens = static_cast<double>(tokensOf(reservation.promptTokens, reservation.estimatedTokens));
-    m_meanTokens = m_turn == 1 ? tokens : m_meanTokens + sizeGain * (tokens - m_meanTokens);
+    m_meanTokens = m_reservationCount == 1 ? tokens : m_meanTokens + sizeGain * (tokens - m_meanTokens);
 }
 
 void EndpointPool::free(TimePoint now, const Reservation &reservation, const ServiceSample &sample)
@@ -315,7 +314,7 @@
     Member *member = find(reservation.endpoint);
     const std::optional<FinishedWork> work = member == nullptr ? std::nullopt : member->load.end(now, reservation);
     if (!work) {
-        ++m_strayFrees;
+        ++m_unmatchedFrees;
         return;
     }
     if (sample.failed) {
@@ -332,10 +331,10 @@
     Member *member = find(reservation.endpoint);
     const std::optional<FinishedWork> work = member == nullptr ? std::nullopt : member->load.end(now, reservation);
     if (!work) {
-        ++m_strayFrees;
+        ++m_unmatchedFrees;
         return;
     }
-    // Nothing was sent, so the endpoint holds no more of the prompt than it did before.
+    // Nothing was sent, so the endpoint holds no more of the prompt than before.
     if (member->holder && work->expectedBlocks <= 0) {
         m_index.forget(*member->holder, work->digests);
     }
@@ -354,7 +353,7 @@
 {
     const bool isService = member.endpoint.kind == EndpointKind::Service;
     if (!isService && sample.firstToken <= Duration::zero()) {
-        return; // cancelled before the first token: tells nothing
+        return; // cancelled before the first token, so there is nothing to learn
     }
     if (member.failures.onSuccess(work.start)) {
         member.coldSince = now;
@@ -411,7 +410,7 @@
     if (!member.holder) {
         return;
     }
-    // An engine that never reports reuse says zero: no evidence against the index.
+    // An engine that never reports reuse always states zero, which is no evidence against the index.
     member.reportsReuse = member.reportsReuse || sample.reusedPromptTokens > 0;
     if (member.reportsReuse) {
         m_index.correct(*member.holder, work.expectedBlocks, static_cast<double>(sample.reusedPromptTokens) / m_options.blockTokens);
@@ -434,27 +433,27 @@
     }
 }
 
-std::size_t EndpointPool::placesOf(TimePoint now, const Member &member) const
+std::size_t EndpointPool::freeSlotsOf(TimePoint now, const Member &member) const
 {
     if (obstacle(now, member, 0) != EndpointObstacle::None) {
         return 0;
     }
-    const std::size_t places = limitInForce(now, member) - loadOf(now, member);
+    const std::size_t slots = limitInForce(now, member) - loadOf(now, member);
     const std::uint64_t memory = member.endpoint.kvTokens;
     if (memory == 0 || m_meanTokens <= 0) {
-        return places;
+        return slots;
     }
-    const auto left = static_cast<double>(memory - std::min(memory, member.load.reservedTokens()));
-    return std::clamp<std::size_t>(static_cast<std::size_t>(left / m_meanTokens), 1, places);
+    const auto remaining = static_cast<double>(memory - std::min(memory, member.load.reservedTokens()));
+    return std::clamp<std::size_t>(static_cast<std::size_t>(remaining / m_meanTokens), 1, slots);
 }
 
 std::size_t EndpointPool::freeSlots(TimePoint now) const
 {
-    std::size_t places = 0;
+    std::size_t slots = 0;
     for (const auto &[id, member] : m_members) {
-        places += placesOf(now, member);
+        slots += freeSlotsOf(now, member);
     }
-    return places;
+    return slots;
 }
 
 bool EndpointPool::hasActiveEndpoints() const
@@ -471,7 +470,7 @@
     }
     member->load.report(now, report);
     if (report.waiting > 0 && report.age <= m_options.reportWindow) {
-        member->limit.engineQueues(report.running);
+        member->limit.reportEngineQueue(report.running);
     }
 }
 
--- a/src/routing/endpointpool_test.cpp
+++ b/src/routing/endpointpool_test.cpp
@@ -59,7 +59,7 @@
     return query;
 }
 
-/** Chooses and reserves; an empty endpoint when there was no place. */
+/** Chooses and reserves. @return an empty endpoint if there was no free slot */
 Reservation take(EndpointPool &pool, TimePoint now, const EndpointQuery &query)
 {
     const std::optional<EndpointChoice> choice = pool.choose(now, query);
@@ -86,7 +86,7 @@
     return {};
 }
 
-/** Chooses until there is no place, or far too often; returns how many went to each endpoint. */
+/** Chooses until there is no free slot, at most 1000 times. @return how many pieces of work went to each endpoint */
 std::map<EndpointId, int> fill(EndpointPool &pool, TimePoint now, const EndpointQuery &query)
 {
     std::map<EndpointId, int> counts;
@@ -100,7 +100,7 @@
     return counts;
 }
 
-/** The slow oracle of leaving: all signals and lists that there ever were, read again for each question. */
+/** The slow oracle for leaving: the history of all signals and lists, replayed for each query. */
 class SignalHistory
 {
 public:
@@ -144,7 +144,7 @@
     std::vector<Event> m_events;
 };
 
-/** A random life of a pool of a few small engines: lists, signals, failures, work in any order. */
+/** A random sequence of lists, signals, failures and work, applied to a pool of a few small engines. */
 class PoolWalk
 {
 public:
@@ -285,10 +285,10 @@
 
 } // namespace
 
-// The caller's request is cut off or refused by an endpoint that had said it was leaving. First the endpoint,
-// a peer or an operator says so, then the host list, which lags, still shows it live, in any order and number.
-// Without the mark the next list makes it eligible again; without the list's state the mark's end does.
-TEST_CASE("no choice falls on a leaving or gone endpoint, on one at its limit or on one without memory", "[endpoint-drain]")
+// Guards against requests that break or are refused at an endpoint that had announced that it is leaving. The endpoint, a peer or an operator announces it,
+// while the host list, which lags, still shows it live, in any order and number. Without the mark the next list would make the endpoint eligible again; without
+// the list's state the end of the mark would.
+TEST_CASE("no choice falls on a leaving or removed endpoint, on one at its limit or on one without memory", "[endpoint-drain]")
 {
     rc::prop("any interleaving of lists, signals, failures and work", [] {
         PoolWalk walk;
@@ -299,10 +299,9 @@
     });
 }
 
-// Capacity leaks away until an endpoint that idles looks full. First work ends in any way, also on an
-// endpoint that left the list meanwhile or whose memory changed, then its release comes, perhaps twice.
-// Without exact bookkeeping the count drifts and never comes back.
-TEST_CASE("what was reserved comes back whole")
+// Guards against leaked capacity, with which an idle endpoint looks full. Work ends in any way, also on an endpoint that was removed from the list meanwhile
+// or whose memory changed, and its release may arrive twice. Without exact accounting the count drifts for good.
+TEST_CASE("all reserved capacity is returned")
 {
     rc::prop("in flight is what runs, and zero at the end", [] {
         PoolWalk walk;
@@ -318,7 +317,7 @@
             RC_ASSERT(status.inFlight == 0U);
             RC_ASSERT(status.reservedTokens == 0U);
         }
-        RC_ASSERT(walk.pool().strayFrees() == 0U);
+        RC_ASSERT(walk.pool().unmatchedFrees() == 0U);
     });
 }
 
@@ -332,7 +331,7 @@
     pool.free(start, first, sampleOf(40ms));
     pool.freeUnused(start, {idOf(7), 1, 1});
     REQUIRE(statusOf(pool, start, idOf(0)).inFlight == 1);
-    REQUIRE(pool.strayFrees() == 2);
+    REQUIRE(pool.unmatchedFrees() == 2);
 }
 
 TEST_CASE("work taken over for an endpoint that is not listed yet counts once it is")
@@ -344,9 +343,9 @@
     REQUIRE(pool.freeSlots(start) == 1);
 }
 
-// A retry runs into the endpoint that just failed it. First one attempt fails there, then the retry names it
-// as one to avoid. While any other endpoint has a place, the avoided one must not be taken.
-TEST_CASE("an avoided endpoint is taken only when no other has a place")
+// Guards against a retry at the endpoint that just failed the request. The retry lists that endpoint as one to avoid, and it must not be chosen while any
+// other endpoint has a free slot.
+TEST_CASE("an avoided endpoint is chosen only when no other has a free slot")
 {
     EndpointPool pool({}, start);
     pool.update(start, engines(2, 2));
@@ -362,10 +361,9 @@
     REQUIRE_FALSE(pool.choose(start, query));
 }
 
-// Callers wait several times longer on one endpoint than on the rest. First the straggler slows down, its load
-// report still says that all is well, then work finishes there late. Without the speed model it keeps its
-// full share until the reports catch up.
-TEST_CASE("a straggler is found after four finished streams and recovers after it healed")
+// Guards against one endpoint where callers wait several times longer than elsewhere. The straggler slows down while its load report still looks normal, then
+// work finishes late there. Without the speed model it keeps its full share until the reports catch up.
+TEST_CASE("a straggler is found after four finished streams, and its recovery is noticed")
 {
     TimePoint now = start;
     EndpointPool pool({}, now);
@@ -401,7 +399,7 @@
         REQUIRE(statusOf(pool, now, idOf(0)).limit <= 4);
     }
 
-    SECTION("one piece of work at a time finds out that it healed")
+    SECTION("single pieces of work show that it has recovered")
     {
         int probes = 0;
         for (int second = 0; second < 120 && statusOf(pool, now, idOf(0)).straggler; ++second) {
@@ -416,10 +414,9 @@
     }
 }
 
-// Callers of a straggler that still meets its token target wait longer than they need to, since the adaptive
-// limit sees nothing wrong. First one endpoint runs at half the pool's pace, then demand fills the pool. Its
-// share must shrink with its speed.
-TEST_CASE("a straggler within its target takes a share of its slots")
+// Guards against needless waits at a straggler that still meets its token target, so that the adaptive limit does not change. One endpoint runs at half the
+// pool's pace, then demand fills the pool. The endpoint's share must shrink with its speed.
+TEST_CASE("a straggler that meets its target takes only a share of its slots")
 {
     TimePoint now = start;
     EndpointPool pool({}, now);
@@ -437,10 +434,9 @@
     REQUIRE(counts[idOf(1)] >= 8);
 }
 
-// A healthy endpoint loses its work because it has more of it. First affinity fills one endpoint, then its
-// larger batch makes each token slower, as on any engine. Without the batch in the comparison it would be
-// taken for a straggler.
-TEST_CASE("a busy endpoint is not taken for a straggler")
+// Guards against a healthy endpoint that loses its work because it has much of it. Affinity fills one endpoint, and its larger batch makes each token slower,
+// as on any engine. Without the batch in the comparison it would be flagged as a straggler.
+TEST_CASE("a busy endpoint is not flagged as a straggler")
 {
     TimePoint now = start;
     EndpointPool pool({}, now);
@@ -461,9 +457,8 @@
     REQUIRE(statusOf(pool, now, idOf(0)).speed > 0.8);
 }
 
-// Callers meet an engine with cold caches and kernels together with a full batch. First an endpoint appears or
-// comes back, then, being empty, it looks best for everything that waits. It must warm up on a part of its
-// limit first; endpoints that are there when the pool starts are not held back.
+// Guards against a full batch at an engine with cold caches and kernels. An endpoint appears or returns and, being empty, has the best score for all waiting
+// work. It must warm up with a part of its limit first; endpoints that are present when the pool starts are not restricted.
 TEST_CASE("a cold endpoint warms up")
 {
     TimePoint now = start;
@@ -485,8 +480,8 @@
     REQUIRE(statusOf(pool, now + 1s, idOf(0)).limit == 4);
 }
 
-// Every request fails at once on an endpoint that crashed: it refuses connections, so it always looks idle.
-// The first failures must make it wait, longer each time, and then let in one piece of work at a time.
+// Guards against every request failing at a crashed endpoint, which refuses connections at once and so always looks idle. The first failures must start a
+// wait, longer each time, after which it gets one piece of work at a time.
 TEST_CASE("a crashed endpoint does not attract all work")
 {
     TimePoint now = start;
@@ -509,9 +504,9 @@
     REQUIRE(statusOf(pool, now + 12s, idOf(0)).limit >= 8);
 }
 
-// All waiting work lands on a dead endpoint again. First an endpoint crashes and breaks its streams, then a
-// release of a stream that had ended well just before comes in late. It must not pass for a sign of life.
-TEST_CASE("work that began before a crash does not show that the endpoint is back")
+// Guards against all waiting work being sent to a crashed endpoint again. An endpoint crashes and breaks its streams, then the release of a stream that had
+// ended well just before arrives late. It must not count as a sign of recovery.
+TEST_CASE("work that began before a crash does not show that the endpoint has recovered")
 {
     EndpointPool pool({}, start);
     pool.update(start, engines(1));
@@ -527,7 +522,7 @@
     REQUIRE(statusOf(pool, start + 7s, idOf(0)).obstacle == EndpointObstacle::None);
 }
 
-TEST_CASE("a single failure costs one short wait only")
+TEST_CASE("a single failure causes one short wait only")
 {
     EndpointPool pool({}, start);
     pool.update(start, engines(1));
@@ -554,7 +549,7 @@
     REQUIRE(choice->hopCost == Duration(3ms));
 }
 
-TEST_CASE("affinity brings a prompt back to its cache but does not overload one endpoint")
+TEST_CASE("affinity sends a prompt to the endpoint that caches it but does not overload that endpoint")
 {
     EndpointPool pool({}, start);
     pool.update(start, engines(4, 8));
@@ -583,7 +578,7 @@
     REQUIRE(counts.size() == 4);
 }
 
-TEST_CASE("cache events teach the index, a gone endpoint is forgotten")
+TEST_CASE("cache events update the index, a removed endpoint is forgotten")
 {
     EndpointPool pool({}, start);
     pool.update(start, engines(3));
@@ -599,7 +594,7 @@
     REQUIRE(pool.choose(start, query)->reusedTokens == 0);
 }
 
-TEST_CASE("work from elsewhere counts, our own work in a late report does not")
+TEST_CASE("work of others counts, own work in a late report does not")
 {
     EndpointPool pool({}, start);
     pool.update(start, engines(1, 8));
@@ -615,7 +610,7 @@
     REQUIRE(pool.freeSlots(start + 6s) == 8);
 }
 
-TEST_CASE("plain services are taken by load and hop cost, and a slow one gets less")
+TEST_CASE("plain services are chosen by load and hop cost, and a slow one gets less work")
 {
     TimePoint now = start;
     EndpointPool pool({}, now);
@@ -643,9 +638,9 @@
     REQUIRE(counts[idOf(1)] <= 2);
 }
 
-// Callers of long streams suffer for as long as their streams last, since nothing is released meanwhile. First
-// an endpoint slows down in the middle of its streams, then the pace of running work tells it.
-TEST_CASE("the pace of running work shows a straggler before anything is released")
+// Guards against a straggler that stays unnoticed for as long as its long streams last, since nothing is released meanwhile. An endpoint slows down in the
+// middle of its streams; the pace of its running work must show it.
+TEST_CASE("the pace of running work reveals a straggler before any work is released")
 {
     TimePoint now = start;
     EndpointPool pool({}, now);
--- a/src/routing/prefixindex.cpp
+++ b/src/routing/prefixindex.cpp
@@ -1,7 +1,6 @@
-// A chained hash table over a pool of nodes that are also linked in order of last learning (the classic LRU
-// cache), rather than a radix tree over block sequences: a chained digest already names the whole prefix, so a
-// flat table answers the same question with a fixed-size node and no rebalancing. Holders are bits in two
-// masks, one for each generation, so ageing costs nothing until an entry is touched.
+// A chained hash table over a pool of nodes that are also linked in order of last learning (an LRU cache), rather than a radix tree over block sequences:
+// a chained digest identifies the whole prefix, so a flat table gives the same result with fixed-size nodes and no rebalancing. Holders are bits in two
+// masks, one per generation, so ageing takes no time until an entry is accessed.
 
 #include "routing/prefixindex.h"
 
@@ -17,12 +16,12 @@
 
 constexpr double formerWeight = 0.5;
 constexpr double trustGain = 0.2;
-constexpr double leastTrust = 0.05;
+constexpr double minTrust = 0.05;
 // Each gap in the events may hide evictions.
 constexpr double trustAfterGap = 0.9;
-// A sequence this far back is not a late repeat: the engine restarted and counts anew.
+// A sequence number further back is no late repetition: the engine has restarted its count.
 constexpr std::uint64_t reorderWindow = 1024;
-// Spreads digests that are not uniform (2^64 over the golden ratio).
+// Spreads digests that are not uniform (2^64 divided by the golden ratio).
 constexpr std::uint64_t bucketMixer = 0x9E3779B97F4A7C15ULL;
 constexpr int digestBits = 64;
 
@@ -203,7 +202,7 @@
         return true;
     }
     if (sequence != last + 1) {
-        source.trust = std::max(leastTrust, source.trust * trustAfterGap);
+        source.trust = std::max(minTrust, source.trust * trustAfterGap);
     }
     source.lastSequence = sequence;
     return false;
@@ -234,24 +233,24 @@
         return;
     }
     Source &source = m_sources[holder];
-    // `expected` was already scaled by the trust: compare with what the index holds.
+    // `expected` is already scaled by the trust, so the comparison is with the unscaled estimate.
     const double share = std::min(1.0, seen * source.trust / expected);
-    source.trust = std::clamp(source.trust + trustGain * (share - source.trust), leastTrust, 1.0);
+    source.trust = std::clamp(source.trust + trustGain * (share - source.trust), minTrust, 1.0);
 }
 
 PrefixIndex::Match PrefixIndex::match(TimePoint now, std::span<const std::uint64_t> digests) const
 {
     Match blocks{};
     const std::uint32_t generation = generationAt(now);
-    std::uint64_t left = ~std::uint64_t{0};
+    std::uint64_t remaining = ~std::uint64_t{0};
     for (const std::uint64_t digest : digests) {
         const NodeIndex index = find(digest);
         if (index == none) {
             break;
         }
         const Holders holders = holdersAt(m_nodes[index], generation);
-        left &= holders.recent | holders.former;
-        for (std::uint64_t rest = left; rest != 0; rest &= rest - 1) {
+        remaining &= holders.recent | holders.former;
+        for (std::uint64_t rest = remaining; rest != 0; rest &= rest - 1) {
             const int holder = std::countr_zero(rest);
             blocks[holder] += (holders.recent >> holder & 1) != 0 ? 1.0F : static_cast<float>(formerWeight);
         }
--- a/src/routing/prefixindex_test.cpp
+++ b/src/routing/prefixindex_test.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint64_t digests = 24;
 constexpr Duration generation = 60s;
 
-/** The slow oracle: unbounded, one time for each digest and holder, one pass a question. */
+/** The slow oracle: unbounded, one time for each digest and holder, one pass per query. */
 class HolderMap
 {
 public:
@@ -63,7 +63,7 @@
     return {EndpointId("e"), sequence, static_cast<CacheEvent::Kind>(kind), digest};
 }
 
-/** Applies an event and all that the oracle should learn from it. */
+/** Applies an event to the index and to the oracle. */
 void applyBoth(PrefixIndex &index, HolderMap &oracle, TimePoint now, std::uint64_t era, PrefixIndex::Holder holder, const CacheEvent &event)
 {
     index.apply(now, holder, event);
@@ -104,10 +104,10 @@
             }
             break;
         }
-        case 1: // lost on the way
+        case 1: // lost in transit
             ++sequence[holder];
             break;
-        case 2: // an old one arrives again
+        case 2: // an old event arrives again
             if (!delivered[holder].empty()) {
                 index.apply(now, holder, delivered[holder][*rc::gen::inRange<std::size_t>(0, delivered[holder].size())]);
             }
@@ -121,13 +121,13 @@
         }
         RC_ASSERT(index.size() <= entries);
         RC_ASSERT(index.memoryBytes() <= entries * PrefixIndex::bytesPerEntry + PrefixIndex::bytesPerEntry);
-        const std::vector<std::uint64_t> asked = promptAt(*rc::gen::inRange<std::uint64_t>(0, digests));
-        const PrefixIndex::Match match = index.match(now, asked);
+        const std::vector<std::uint64_t> queried = promptAt(*rc::gen::inRange<std::uint64_t>(0, digests));
+        const PrefixIndex::Match match = index.match(now, queried);
         for (PrefixIndex::Holder other = 0; other < holders; ++other) {
-            const float truth = oracle.match(era, other, asked);
+            const float truth = oracle.match(era, other, queried);
             RC_ASSERT(match[other] <= truth);
             if (exact) {
-                // Only the trust may lower it, by a tenth for each gap at most.
+                // Only the trust may lower the match, by a tenth per gap at most.
                 RC_ASSERT((match[other] > 0) == (truth > 0));
             }
         }
@@ -136,9 +136,8 @@
 
 } // namespace
 
-// A later request is sent where its prompt is said to be cached. First cache events are lost, repeated or
-// late, then the index answers. Without the sequence check an old "stored" would bring an evicted block
-// back, and without the memory bound a caller with ever new prompts would fill the host.
+// Guards against requests sent to endpoints that don't hold their prompts, after lost, repeated or late cache events. Without the sequence check an old
+// "stored" event would restore an evicted block; without the memory bound a caller with ever new prompts would fill the host's memory.
 TEST_CASE("the index agrees with an unbounded map under lost and repeated events")
 {
     rc::prop("with room for all blocks: the same holders", [] { runAgainstOracle(digests, true); });
@@ -156,7 +155,7 @@
     REQUIRE(index.match(now, prompt)[0] == 3);
 }
 
-TEST_CASE("reuse that does not come lowers the trust, reuse that comes restores it")
+TEST_CASE("missing reuse lowers the trust, observed reuse restores it")
 {
     const TimePoint now = TimePoint(1h);
     PrefixIndex index({64, generation}, now);
@@ -172,7 +171,7 @@
     REQUIRE(index.match(now, prompt)[0] > 3.5F);
 }
 
-TEST_CASE("an engine that restarts counts its events anew")
+TEST_CASE("an engine that restarts may restart its event sequence")
 {
     const TimePoint now = TimePoint(1h);
     PrefixIndex index({64, generation}, now);
