--- a/src/routing/endpointpool_test.cpp
+++ b/src/routing/endpointpool_test.cpp
@@ -288,7 +288,7 @@
 // Guards against requests that break or are refused at an endpoint that had announced that it is leaving. The endpoint, a peer or an operator announces it,
 // while the host list, which lags, still shows it live, in any order and number. Without the mark the next list would make the endpoint eligible again; without
 // the list's state the end of the mark would.
-TEST_CASE("no choice falls on a leaving or removed endpoint, on one at its limit or on one without memory", "[endpoint-drain]")
+TEST_CASE("no choice falls on a leaving or gone endpoint, on one at its limit or on one without memory", "[endpoint-drain]")
 {
     rc::prop("any interleaving of lists, signals, failures and work", [] {
         PoolWalk walk;
