--- a/src/daemon/gatewayoptions.cpp
+++ b/src/daemon/gatewayoptions.cpp
@@ -35,7 +35,7 @@
     FleetServiceOptions options;
     options.fleet.self = {settings.peers.ip, settings.peers.port};
     options.fleet.domain = settings.domain.text();
-    options.fleet.life = std::hash<std::string>()(freshId());
+    options.fleet.incarnation = std::hash<std::string>()(freshId());
     options.sharedSecret = settings.peerSecret;
     options.seed = std::hash<std::string>()(freshId());
     for (const std::string &seed : settings.gateway->seeds) {
--- a/src/duties/usage_test.cpp
+++ b/src/duties/usage_test.cpp
@@ -31,8 +31,8 @@
     rc::prop("the sum is of each life's largest telling", [] {
         std::vector<SharedUsage> told;
         std::map<std::uint64_t, std::map<std::uint64_t, std::uint32_t>> largest; // by life, by customer
-        for (std::uint64_t life = 1; life <= 5; ++life) {
-            UsageCounter counter(life);
+        for (std::uint64_t incarnation = 1; incarnation <= 5; ++incarnation) {
+            UsageCounter counter(incarnation);
             const int events = *rc::gen::inRange(0, 40);
             for (int i = 0; i < events; ++i) {
                 counter.began(CustomerId("c" + std::to_string(*rc::gen::inRange(0, 4))), 7);
@@ -44,7 +44,7 @@
         }
         for (const SharedUsage &usage : told) {
             for (const SharedCount &count : usage.counts) {
-                std::uint32_t &known = largest[usage.life][count.customer];
+                std::uint32_t &known = largest[usage.incarnation][count.customer];
                 known = std::max(known, count.begun);
             }
         }
@@ -57,7 +57,7 @@
             book.heard(usage);
         }
         std::map<std::uint64_t, std::uint64_t> sums;
-        for (const auto &[life, counts] : largest) {
+        for (const auto &[incarnation, counts] : largest) {
             for (const auto &[customer, begun] : counts) {
                 sums[customer] += begun;
             }
--- a/src/duties/usagebook.cpp
+++ b/src/duties/usagebook.cpp
@@ -11,10 +11,10 @@
         return;
     }
     std::map<std::uint64_t, Counts> &lives = m_windows[usage.window];
-    if (m_entries >= mostEntries && !lives.contains(usage.life)) {
+    if (m_entries >= mostEntries && !lives.contains(usage.incarnation)) {
         return;
     }
-    Counts &counts = lives[usage.life];
+    Counts &counts = lives[usage.incarnation];
     const std::size_t before = counts.size();
     for (const SharedCount &count : usage.counts) {
         std::uint32_t &known = counts[count.customer];
@@ -22,7 +22,7 @@
     }
     m_entries += counts.size() - before;
     while (m_windows.size() > windowsKept) {
-        for (const auto &[life, gone] : m_windows.begin()->second) {
+        for (const auto &[incarnation, gone] : m_windows.begin()->second) {
             m_entries -= gone.size();
         }
         m_windows.erase(m_windows.begin());
@@ -36,7 +36,7 @@
     if (found == m_windows.end()) {
         return sums;
     }
-    for (const auto &[life, counts] : found->second) {
+    for (const auto &[incarnation, counts] : found->second) {
         for (const auto &[customer, begun] : counts) {
             sums[customer] += begun;
         }
--- a/src/emulator/emulatedsuspects.cpp
+++ b/src/emulator/emulatedsuspects.cpp
@@ -14,42 +14,42 @@
 void EmulatedSuspects::deliver(TimePoint now)
 {
     while (!m_news.empty() && m_news.front().at <= now) {
-        m_book.struck(m_news.front().suspect, m_news.front().ending, now);
+        m_book.addCrash(m_news.front().suspect, m_news.front().ending, now);
         m_news.pop_front();
     }
 }
 
-Standing EmulatedSuspects::standing(std::uint64_t request, TimePoint now)
+SuspectState EmulatedSuspects::state(std::uint64_t request, TimePoint now)
 {
     deliver(now);
-    return m_book.standing(suspectOf(request).identity, now).standing;
+    return m_book.state(suspectOf(request).identity, now).state;
 }
 
 std::vector<std::uint32_t> EmulatedSuspects::placesOf(std::uint64_t request) const
 {
     std::vector<std::uint32_t> places;
-    for (const Ending &ending : m_book.endings(suspectOf(request).identity)) {
-        places.push_back(ending.place);
+    for (const Crash &ending : m_book.crashes(suspectOf(request).identity)) {
+        places.push_back(ending.addressDigest);
     }
     return places;
 }
 
-void EmulatedSuspects::struck(std::uint64_t request, std::size_t engine, const CutRun &run, TimePoint now)
+void EmulatedSuspects::addCrash(std::uint64_t request, std::size_t engine, const InterruptedRun &run, TimePoint now)
 {
-    m_history.ended(run.life, now);
+    m_history.ended(run.incarnationKey, now);
     std::vector<std::uint64_t> own;
-    for (const Ending &before : m_book.endings(suspectOf(request).identity)) {
-        own.push_back(before.life);
+    for (const Crash &before : m_book.crashes(suspectOf(request).identity)) {
+        own.push_back(before.incarnationKey);
     }
     const float chance = static_cast<float>(m_history.chanceOf(run, own, now));
-    m_news.push_back({now + newsTime, suspectOf(request), {run.life, static_cast<std::uint32_t>(engine), now, chance}});
+    m_news.push_back({now + newsTime, suspectOf(request), {run.incarnationKey, static_cast<std::uint32_t>(engine), now, chance}});
 }
 
 void EmulatedSuspects::completed(std::uint64_t request, TimePoint now)
 {
     deliver(now);
     if (m_book.knowsShape(request)) {
-        m_book.cleared(suspectOf(request), now, now);
+        m_book.markCleared(suspectOf(request), now, now);
     }
 }
 
--- a/src/emulator/emulatedsuspects.h
+++ b/src/emulator/emulatedsuspects.h
@@ -15,9 +15,9 @@
 {
 public:
     /** @param request its number, the same for all its attempts */
-    Standing standing(std::uint64_t request, TimePoint now);
+    SuspectState state(std::uint64_t request, TimePoint now);
     std::vector<std::uint32_t> placesOf(std::uint64_t request) const;
-    void struck(std::uint64_t request, std::size_t engine, const CutRun &run, TimePoint now);
+    void addCrash(std::uint64_t request, std::size_t engine, const InterruptedRun &run, TimePoint now);
     void completed(std::uint64_t request, TimePoint now);
 
 private:
@@ -25,7 +25,7 @@
     {
         TimePoint at;
         Suspect suspect;
-        Ending ending;
+        Crash ending;
     };
 
     static Suspect suspectOf(std::uint64_t request)
@@ -34,8 +34,8 @@
     }
     void deliver(TimePoint now);
 
-    SuspectBook m_book{SuspectOptions()};
-    EndingHistory m_history{EndingHistoryOptions()};
+    SuspectTable m_book{SuspectOptions()};
+    CrashHistory m_history{CrashHistoryOptions()};
     std::deque<News> m_news; ///< on their way, in order of time
 };
 
--- a/src/fleet/fleetcounters.h
+++ b/src/fleet/fleetcounters.h
@@ -16,8 +16,8 @@
     std::uint64_t digestsOut = 0; ///< made here, as a relay
     std::uint64_t refused = 0; ///< untagged, malformed or out of bounds
     std::uint64_t unsent = 0;
-    std::uint64_t questionsOut = 0; ///< for changes that peers know
-    std::uint64_t questionsAnswered = 0;
+    std::uint64_t changeRequestsOut = 0; ///< for changes that peers know
+    std::uint64_t changeRequestsAnswered = 0;
 };
 
 } // namespace Rhubarbwind
--- a/src/fleet/peerroster.h
+++ b/src/fleet/peerroster.h
@@ -23,12 +23,12 @@
 
 struct RosterEntry
 {
-    PeerAddress place;
-    std::uint32_t life = 0; ///< the low half of its Beacon::life
+    PeerAddress address;
+    std::uint32_t incarnation = 0; ///< the low half of its Beacon::life
     Duration age{}; ///< since somebody heard it directly, or since its silence began if it is gone; rounded up to 10 ms
     std::uint8_t domain = 0; ///< index into PeerRoster::domains
     bool leaving = false;
-    bool gone = false; ///< its beacons have ended
+    bool down = false; ///< its beacons have ended
     friend bool operator==(const RosterEntry &, const RosterEntry &) = default;
 };
 
@@ -43,7 +43,7 @@
 /** The host that holds the fleet's duties. */
 struct DutyClaim
 {
-    PeerAddress place;
+    PeerAddress address;
     std::uint64_t number = 0; ///< fencing number
     Duration age{}; ///< since it was heard
     friend bool operator==(const DutyClaim &, const DutyClaim &) = default;
--- a/src/fleet/peerrostercodec.cpp
+++ b/src/fleet/peerrostercodec.cpp
@@ -54,8 +54,8 @@
     std::vector<Fbs::RosterEntry> entries;
     entries.reserve(roster.entries.size());
     for (const RosterEntry &entry : roster.entries) {
-        const Fbs::PeerPlace place = writePlace(entry.place);
-        entries.emplace_back(place.ip(), entry.life, place.port(), writeAge(entry.age), entry.domain, entry.leaving, entry.gone);
+        const Fbs::PeerPlace place = writePlace(entry.address);
+        entries.emplace_back(place.ip(), entry.incarnation, place.port(), writeAge(entry.age), entry.domain, entry.leaving, entry.down);
     }
     std::vector<Fbs::WatchAge> watches;
     for (const WatchAge &watch : roster.watches) {
@@ -64,7 +64,7 @@
     const Offset<flatbuffers::Vector<Offset<flatbuffers::String>>> domainsAt = builder.CreateVectorOfStrings(roster.domains);
     const Offset<flatbuffers::Vector<const Fbs::RosterEntry *>> entriesAt = builder.CreateVectorOfStructs(entries);
     const Offset<flatbuffers::Vector<const Fbs::WatchAge *>> watchesAt = builder.CreateVectorOfStructs(watches);
-    const Fbs::PeerPlace dutyPlace = roster.duty ? writePlace(roster.duty->place) : Fbs::PeerPlace();
+    const Fbs::PeerPlace dutyPlace = roster.duty ? writePlace(roster.duty->address) : Fbs::PeerPlace();
     return Fbs::CreatePeerRoster(builder,
                                  roster.hosts,
                                  domainsAt,
--- a/src/fleet/peerrostercodec.h
+++ b/src/fleet/peerrostercodec.h
@@ -13,7 +13,7 @@
 inline constexpr std::size_t longestDomain = 64;
 
 Fbs::PeerPlace writePlace(const PeerAddress &address);
-PeerAddress readPlace(const Fbs::PeerPlace &place);
+PeerAddress readPlace(const Fbs::PeerPlace &address);
 std::uint32_t millisecondsOf(Duration age);
 
 flatbuffers::Offset<Fbs::PeerRoster> writeRoster(flatbuffers::FlatBufferBuilder &builder, const PeerRoster &roster);
--- a/src/quarantine/completedrequests.cpp
+++ b/src/quarantine/completedrequests.cpp
@@ -20,7 +20,7 @@
     const RequestIdentity digest = digestOf(content);
     m_order.push_back({digest, now});
     m_latest[digest] = now;
-    while (m_order.size() > m_most || now - m_order.front().at > m_life) {
+    while (m_order.size() > m_most || now - m_order.front().at > m_lifetime) {
         const auto latest = m_latest.find(m_order.front().digest);
         if (latest != m_latest.end() && latest->second == m_order.front().at) {
             m_latest.erase(latest);
@@ -32,7 +32,7 @@
 bool CompletedRequests::has(const RequestContent &content, TimePoint now) const
 {
     const auto latest = m_latest.find(digestOf(content));
-    return latest != m_latest.end() && now - latest->second <= m_life;
+    return latest != m_latest.end() && now - latest->second <= m_lifetime;
 }
 
 } // namespace Rhubarbwind
--- a/src/quarantine/completedrequests.h
+++ b/src/quarantine/completedrequests.h
@@ -21,10 +21,10 @@
 {
 public:
     /** @param most to be remembered, some minutes' worth of a busy host's */
-    CompletedRequests(std::uint64_t key, std::size_t most = 4096, Duration life = 60s)
+    CompletedRequests(std::uint64_t key, std::size_t most = 4096, Duration lifetime = 60s)
         : m_key(key)
         , m_most(most)
-        , m_life(life)
+        , m_lifetime(lifetime)
     {
     }
 
@@ -42,7 +42,7 @@
 
     std::uint64_t m_key;
     std::size_t m_most;
-    Duration m_life;
+    Duration m_lifetime;
     std::deque<Entry> m_order; ///< the oldest first
     std::map<RequestIdentity, TimePoint> m_latest; ///< of those in m_order
 };
--- a/src/quarantine/endinghistory.cpp
+++ b/src/quarantine/endinghistory.cpp
@@ -5,25 +5,25 @@
 namespace Rhubarbwind
 {
 
-void EndingHistory::ended(std::uint64_t life, TimePoint at)
+void CrashHistory::ended(std::uint64_t incarnationKey, TimePoint at)
 {
-    if (std::ranges::find(m_seen, life, &Seen::life) != m_seen.end()) {
+    if (std::ranges::find(m_seen, incarnationKey, &Seen::incarnationKey) != m_seen.end()) {
         return;
     }
-    m_seen.push_back({life, at});
+    m_seen.push_back({incarnationKey, at});
     while (m_seen.size() > m_options.mostKept || at - m_seen.front().at > m_options.window) {
         m_seen.pop_front();
     }
 }
 
-double EndingHistory::chanceOf(const CutRun &run, std::span<const std::uint64_t> own, TimePoint now) const
+double CrashHistory::chanceOf(const InterruptedRun &run, std::span<const std::uint64_t> own, TimePoint now) const
 {
     // Where none has been seen for the whole window, the next may still come: half a one is expected.
     constexpr double unseen = 0.5;
     double ofLate = unseen;
     double meanwhile = 0;
     for (const Seen &seen : m_seen) {
-        const bool isOwn = seen.life == run.life || std::ranges::find(own, seen.life) != own.end();
+        const bool isOwn = seen.incarnationKey == run.incarnationKey || std::ranges::find(own, seen.incarnationKey) != own.end();
         if (isOwn || now - seen.at > m_options.window) {
             continue;
         }
--- a/src/quarantine/endinghistory.h
+++ b/src/quarantine/endinghistory.h
@@ -24,42 +24,42 @@
 {
 
 /** A request's time at an endpoint that ended with it. */
-struct CutRun
+struct InterruptedRun
 {
-    std::uint64_t life = 0; ///< of the endpoint
+    std::uint64_t incarnationKey = 0; ///< of the endpoint
     TimePoint began{};
     TimePoint ended{};
     std::size_t endpoints = 1; ///< of its service, before the end
 };
 
-struct EndingHistoryOptions
+struct CrashHistoryOptions
 {
     Duration window = 30s; ///< some times as long as engines are away and callers repeat; a longer one thins a spell of crashes out
     Duration blur = 250ms; ///< by which hosts see the same moment at different times
     std::size_t mostKept = 1024;
 };
 
-class EndingHistory
+class CrashHistory
 {
 public:
-    explicit EndingHistory(EndingHistoryOptions options)
+    explicit CrashHistory(CrashHistoryOptions options)
         : m_options(options)
     {
     }
 
     /** An endpoint's life is over, whoever saw it; known ones change nothing. */
-    void ended(std::uint64_t life, TimePoint at);
+    void ended(std::uint64_t incarnationKey, TimePoint at);
     /** @param own lives that ended under the same request */
-    double chanceOf(const CutRun &run, std::span<const std::uint64_t> own, TimePoint now) const;
+    double chanceOf(const InterruptedRun &run, std::span<const std::uint64_t> own, TimePoint now) const;
 
 private:
     struct Seen
     {
-        std::uint64_t life = 0;
+        std::uint64_t incarnationKey = 0;
         TimePoint at{};
     };
 
-    EndingHistoryOptions m_options;
+    CrashHistoryOptions m_options;
     std::deque<Seen> m_seen; ///< as they were told
 };
 
--- a/src/quarantine/falseblame_test.cpp
+++ b/src/quarantine/falseblame_test.cpp
@@ -46,9 +46,9 @@
         , m_random(seed)
     {
         SuspectOptions options;
-        options.chanceToHold = weighsChance ? options.chanceToHold : 1.0;
+        options.chanceToQuarantine = weighsChance ? options.chanceToQuarantine : 1.0;
         for (std::size_t i = 0; i < hostCount; ++i) {
-            m_hosts.push_back({SuspectBook(options), EndingHistory({}), CompletedRequests(seed + i), {}});
+            m_hosts.push_back({SuspectTable(options), CrashHistory({}), CompletedRequests(seed + i), {}});
         }
         for (std::size_t i = 0; i < engineCount; ++i) {
             m_engines.push_back({i + 1, {}, {}});
@@ -67,8 +67,8 @@
                 trouble(passed);
             }
         }
-        for (const auto &[number, endings] : m_guiltyEndings) {
-            m_outcome.guiltyEndings = std::max(m_outcome.guiltyEndings, endings);
+        for (const auto &[number, crashes] : m_guiltyEndings) {
+            m_outcome.guiltyEndings = std::max(m_outcome.guiltyEndings, crashes);
         }
         return m_outcome;
     }
@@ -96,14 +96,14 @@
     };
     struct Engine
     {
-        std::uint64_t life = 0;
+        std::uint64_t incarnationKey = 0;
         TimePoint backAt{};
         std::vector<Run> runs;
     };
     struct Host
     {
-        SuspectBook book;
-        EndingHistory history;
+        SuspectTable book;
+        CrashHistory history;
         CompletedRequests completed;
         std::set<std::uint64_t> suspectsRunning;
     };
@@ -112,7 +112,7 @@
         TimePoint at{};
         std::size_t from = 0;
         Suspect suspect;
-        std::optional<Ending> ending; ///< none: cleared
+        std::optional<Crash> ending; ///< none: cleared
     };
     struct Repeat
     {
@@ -182,13 +182,13 @@
         if (host.book.knowsShape(request) && host.completed.has({"", "", "", "", body}, m_now)) {
             clear(number, request);
         }
-        const Standing standing = host.book.standing({request, request}, m_now).standing;
-        if (standing == Standing::Held) {
+        const SuspectState state = host.book.state({request, request}, m_now).state;
+        if (state == SuspectState::Quarantined) {
             m_outcome.turnedAway += isGuilty ? 0 : 1;
             m_outcome.popularTurnedAway += request < firstOther ? 1 : 0;
             return;
         }
-        if (standing == Standing::Suspect && !host.suspectsRunning.insert(request).second) {
+        if (state == SuspectState::Suspect && !host.suspectsRunning.insert(request).second) {
             return;
         }
         std::vector<Engine *> up;
@@ -200,11 +200,11 @@
         if (up.empty()) {
             return;
         }
-        if (standing == Standing::Suspect) {
+        if (state == SuspectState::Suspect) {
             keepQuiet(up);
         }
-        const auto rank = [request](const Engine *engine) { return (request * 2654435761U) ^ (engine->life * 40503U * request); };
-        Engine &engine = standing == Standing::Suspect ? **std::ranges::max_element(up, {}, rank) : *up[m_random() % up.size()];
+        const auto rank = [request](const Engine *engine) { return (request * 2654435761U) ^ (engine->incarnationKey * 40503U * request); };
+        Engine &engine = state == SuspectState::Suspect ? **std::ranges::max_element(up, {}, rank) : *up[m_random() % up.size()];
         constexpr double meanSeconds = 1.5;
         const Duration length = isGuilty ? 100ms : 100ms + fromSeconds(std::exponential_distribution<double>(1 / meanSeconds)(m_random));
         engine.runs.push_back({request, number, m_now, m_now + length, repeats});
@@ -250,7 +250,7 @@
 
     void clear(std::size_t host, std::uint64_t request)
     {
-        m_hosts[host].book.cleared(suspectOf(request), m_now, m_now);
+        m_hosts[host].book.markCleared(suspectOf(request), m_now, m_now);
         m_news.push_back({m_now + newsTime, host, suspectOf(request), std::nullopt});
     }
 
@@ -258,33 +258,33 @@
     {
         for (const Run &run : engine.runs) {
             m_outcome.brokenStreams += run.request < guiltyFrom ? 1 : 0;
-            strike(run, engine.life);
+            strike(run, engine.incarnationKey);
             constexpr Duration callerPause = 200ms;
             if (run.repeats) {
                 m_repeats.push_back({m_now + callerPause, run.request});
             }
         }
         engine.runs.clear();
-        engine.life = m_nextLife++;
+        engine.incarnationKey = m_nextLife++;
         engine.backAt = m_now + away;
     }
 
-    void strike(const Run &run, std::uint64_t life)
+    void strike(const Run &run, std::uint64_t incarnationKey)
     {
         Host &host = m_hosts[run.host];
         host.suspectsRunning.erase(run.request);
-        host.history.ended(life, m_now);
+        host.history.ended(incarnationKey, m_now);
         const std::string body = bodyOf(run.request);
         if (host.completed.has({"", "", "", "", body}, m_now)) {
             return;
         }
         std::vector<std::uint64_t> own;
-        for (const Ending &before : host.book.endings({run.request, run.request})) {
-            own.push_back(before.life);
+        for (const Crash &before : host.book.crashes({run.request, run.request})) {
+            own.push_back(before.incarnationKey);
         }
-        const double chance = host.history.chanceOf({life, run.since, m_now, engineCount}, own, m_now);
-        const Ending ending{life, static_cast<std::uint32_t>(life), m_now, static_cast<float>(chance)};
-        host.book.struck(suspectOf(run.request), ending, m_now);
+        const double chance = host.history.chanceOf({incarnationKey, run.since, m_now, engineCount}, own, m_now);
+        const Crash ending{incarnationKey, static_cast<std::uint32_t>(incarnationKey), m_now, static_cast<float>(chance)};
+        host.book.addCrash(suspectOf(run.request), ending, m_now);
         m_news.push_back({m_now + newsTime, run.host, suspectOf(run.request), ending});
     }
 
@@ -296,10 +296,10 @@
                     continue;
                 }
                 if (news.ending) {
-                    m_hosts[i].history.ended(news.ending->life, news.ending->at);
-                    m_hosts[i].book.struck(news.suspect, *news.ending, m_now);
+                    m_hosts[i].history.ended(news.ending->incarnationKey, news.ending->at);
+                    m_hosts[i].book.addCrash(news.suspect, *news.ending, m_now);
                 } else {
-                    m_hosts[i].book.cleared(news.suspect, m_now - newsTime, m_now);
+                    m_hosts[i].book.markCleared(news.suspect, m_now - newsTime, m_now);
                 }
             }
         }
--- a/src/quarantine/suspectbook.cpp
+++ b/src/quarantine/suspectbook.cpp
@@ -9,19 +9,19 @@
 {
 
 /** An order that does not depend on who heard what first. */
-bool isEarlier(const Ending &left, const Ending &right)
+bool isEarlier(const Crash &left, const Crash &right)
 {
-    return left.at != right.at ? left.at < right.at : left.life < right.life;
+    return left.at != right.at ? left.at < right.at : left.incarnationKey < right.incarnationKey;
 }
 
 } // namespace
 
-std::size_t SuspectBook::momentsOf(std::span<const Ending> endings) const
+std::size_t SuspectTable::momentsOf(std::span<const Crash> crashes) const
 {
     std::size_t moments = 0;
     TimePoint began{};
-    for (const Ending &ending : endings) {
-        if (moments == 0 || ending.at - began > m_options.sameMoment) {
+    for (const Crash &ending : crashes) {
+        if (moments == 0 || ending.at - began > m_options.crashEventWindow) {
             ++moments;
             began = ending.at;
         }
@@ -29,105 +29,105 @@
     return moments;
 }
 
-bool SuspectBook::proves(std::span<const Ending> endings) const
+bool SuspectTable::proves(std::span<const Crash> crashes) const
 {
-    if (endings.size() < m_options.endingsToHold || momentsOf(endings) < m_options.momentsToHold) {
+    if (crashes.size() < m_options.crashesToQuarantine || momentsOf(crashes) < m_options.crashEventsToQuarantine) {
         return false;
     }
     double chance = 1;
-    for (const Ending &ending : endings) {
+    for (const Crash &ending : crashes) {
         chance *= ending.chance;
     }
-    return chance <= m_options.chanceToHold || endings.size() >= m_options.endingsAtMost;
+    return chance <= m_options.chanceToQuarantine || crashes.size() >= m_options.sufficientCrashes;
 }
 
-std::optional<TimePoint> SuspectBook::heldUntil(std::span<const Ending> endings) const
+std::optional<TimePoint> SuspectTable::quarantinedUntil(std::span<const Crash> crashes) const
 {
     std::optional<TimePoint> until;
-    Duration hold = m_options.firstHold;
-    for (std::size_t count = 1; count <= endings.size(); ++count) {
-        const TimePoint at = endings[count - 1].at;
+    Duration hold = m_options.firstQuarantine;
+    for (std::size_t count = 1; count <= crashes.size(); ++count) {
+        const TimePoint at = crashes[count - 1].at;
         if (!until) {
-            if (proves(endings.first(count))) {
+            if (proves(crashes.first(count))) {
                 until = at + hold;
             }
         } else if (at > *until) {
             // Let run after its hold, it ended an endpoint again.
-            hold = std::min(hold * 2, m_options.longestHold);
+            hold = std::min(hold * 2, m_options.maxQuarantine);
             until = at + hold;
         }
     }
     return until;
 }
 
-SuspectStanding SuspectBook::standingOf(const Record &record, TimePoint now) const
+SuspectStatus SuspectTable::standingOf(const Record &record, TimePoint now) const
 {
-    SuspectStanding standing;
-    standing.endings = record.endings.size();
-    if (standing.endings == 0) {
-        return standing;
+    SuspectStatus state;
+    state.crashes = record.crashes.size();
+    if (state.crashes == 0) {
+        return state;
     }
-    const std::optional<TimePoint> until = heldUntil(record.endings);
-    standing.standing = until && now < *until ? Standing::Held : Standing::Suspect;
-    standing.heldUntil = until.value_or(TimePoint());
-    return standing;
+    const std::optional<TimePoint> until = quarantinedUntil(record.crashes);
+    state.state = until && now < *until ? SuspectState::Quarantined : SuspectState::Suspect;
+    state.quarantinedUntil = until.value_or(TimePoint());
+    return state;
 }
 
-SuspectStanding SuspectBook::standing(const RequestIdentity &identity, TimePoint now) const
+SuspectStatus SuspectTable::state(const RequestIdentity &identity, TimePoint now) const
 {
     const auto found = m_records.find(identity);
-    return found == m_records.end() ? SuspectStanding() : standingOf(found->second, now);
+    return found == m_records.end() ? SuspectStatus() : standingOf(found->second, now);
 }
 
-std::span<const Ending> SuspectBook::endings(const RequestIdentity &identity) const
+std::span<const Crash> SuspectTable::crashes(const RequestIdentity &identity) const
 {
     const auto found = m_records.find(identity);
-    return found == m_records.end() ? std::span<const Ending>() : found->second.endings;
+    return found == m_records.end() ? std::span<const Crash>() : found->second.crashes;
 }
 
-bool SuspectBook::add(Record &record, const Ending &ending) const
+bool SuspectTable::add(Record &record, const Crash &ending) const
 {
-    std::vector<Ending> &endings = record.endings;
-    const auto known = std::ranges::find(endings, ending.life, &Ending::life);
-    if (known != endings.end()) {
+    std::vector<Crash> &crashes = record.crashes;
+    const auto known = std::ranges::find(crashes, ending.incarnationKey, &Crash::incarnationKey);
+    if (known != crashes.end()) {
         // News come later than what they tell of, never earlier: of two hosts' times the first is nearer the truth.
         known->at = std::min(known->at, ending.at);
         // Whoever saw more endings beside it knows better.
         known->chance = std::max(known->chance, ending.chance);
-        std::ranges::sort(endings, isEarlier);
+        std::ranges::sort(crashes, isEarlier);
         return false;
     }
-    endings.insert(std::ranges::upper_bound(endings, ending, isEarlier), ending);
-    if (endings.size() > m_options.endingsKept) {
-        endings.erase(endings.begin() + static_cast<std::ptrdiff_t>(m_options.endingsAtMost));
+    crashes.insert(std::ranges::upper_bound(crashes, ending, isEarlier), ending);
+    if (crashes.size() > m_options.maxCrashesKept) {
+        crashes.erase(crashes.begin() + static_cast<std::ptrdiff_t>(m_options.sufficientCrashes));
     }
     return true;
 }
 
-SuspectChange SuspectBook::struck(const Suspect &suspect, const Ending &ending, TimePoint now)
+SuspectChange SuspectTable::addCrash(const Suspect &suspect, const Crash &ending, TimePoint now)
 {
     const auto known = m_records.find(suspect.identity);
     SuspectChange change;
     if (known != m_records.end() && ending.at <= known->second.clearedAt) {
         change.after = standingOf(known->second, now);
-        change.before = change.after.standing;
+        change.before = change.after.state;
         return change;
     }
     Record &record = known != m_records.end() ? known->second : recordOf(suspect);
-    change.before = standingOf(record, now).standing;
-    if (record.endings.empty()) {
+    change.before = standingOf(record, now).state;
+    if (record.crashes.empty()) {
         ++m_shapes[record.suspect.shape];
     }
-    change.isNews = add(record, ending);
+    change.isNew = add(record, ending);
     change.after = standingOf(record, now);
     return change;
 }
 
-bool SuspectBook::cleared(const Suspect &suspect, TimePoint at, TimePoint now)
+bool SuspectTable::markCleared(const Suspect &suspect, TimePoint at, TimePoint now)
 {
     const auto known = m_records.find(suspect.identity);
     // What nobody suspects needs no word; but endings before it may still be on their way.
-    if (known == m_records.end() && now - at > m_options.suspectLife) {
+    if (known == m_records.end() && now - at > m_options.suspectLifetime) {
         return false;
     }
     Record &record = known != m_records.end() ? known->second : recordOf(suspect);
@@ -135,15 +135,15 @@
         return false;
     }
     record.clearedAt = at;
-    const bool wasSuspected = !record.endings.empty();
-    std::erase_if(record.endings, [at](const Ending &ending) { return ending.at <= at; });
-    if (wasSuspected && record.endings.empty()) {
+    const bool wasSuspected = !record.crashes.empty();
+    std::erase_if(record.crashes, [at](const Crash &ending) { return ending.at <= at; });
+    if (wasSuspected && record.crashes.empty()) {
         dropShape(record.suspect.shape);
     }
     return true;
 }
 
-void SuspectBook::dropShape(std::uint64_t shape)
+void SuspectTable::dropShape(std::uint64_t shape)
 {
     const auto found = m_shapes.find(shape);
     if (--found->second == 0) {
@@ -151,53 +151,53 @@
     }
 }
 
-bool SuspectBook::isOver(const Record &record, TimePoint now) const
+bool SuspectTable::isOver(const Record &record, TimePoint now) const
 {
-    if (record.endings.empty()) {
-        return now - record.clearedAt > m_options.suspectLife;
+    if (record.crashes.empty()) {
+        return now - record.clearedAt > m_options.suspectLifetime;
     }
-    const std::optional<TimePoint> until = heldUntil(record.endings);
+    const std::optional<TimePoint> until = quarantinedUntil(record.crashes);
     // One that was held is known for longer: if it ends an endpoint again, it is held again at once.
-    return until ? now - *until > m_options.longestHold : now - record.endings.back().at > m_options.suspectLife;
+    return until ? now - *until > m_options.maxQuarantine : now - record.crashes.back().at > m_options.suspectLifetime;
 }
 
-void SuspectBook::forget(TimePoint now)
+void SuspectTable::forget(TimePoint now)
 {
     for (auto record = m_records.begin(); record != m_records.end();) {
         record = isOver(record->second, now) ? erase(record) : std::next(record);
     }
 }
 
-SuspectBook::Records::iterator SuspectBook::erase(Records::iterator record)
+SuspectTable::Records::iterator SuspectTable::erase(Records::iterator record)
 {
-    if (!record->second.endings.empty()) {
+    if (!record->second.crashes.empty()) {
         dropShape(record->second.suspect.shape);
     }
     return m_records.erase(record);
 }
 
-SuspectBook::Record &SuspectBook::recordOf(const Suspect &suspect)
+SuspectTable::Record &SuspectTable::recordOf(const Suspect &suspect)
 {
-    if (m_records.size() >= m_options.mostSuspects) {
+    if (m_records.size() >= m_options.maxSuspects) {
         makeRoom();
     }
     return m_records.try_emplace(suspect.identity, Record{suspect, {}, {}}).first->second;
 }
 
-void SuspectBook::makeRoom()
+void SuspectTable::makeRoom()
 {
-    std::size_t fewest = m_options.endingsKept;
+    std::size_t fewest = m_options.maxCrashesKept;
     for (const auto &[identity, record] : m_records) {
-        fewest = std::min(fewest, record.endings.size());
+        fewest = std::min(fewest, record.crashes.size());
     }
     std::unordered_map<std::uint32_t, std::size_t> ofCustomer;
     for (const auto &[identity, record] : m_records) {
-        ofCustomer[record.suspect.customer] += record.endings.size() == fewest ? 1 : 0;
+        ofCustomer[record.suspect.customer] += record.crashes.size() == fewest ? 1 : 0;
     }
-    const auto lastNews = [](const Record &record) { return record.endings.empty() ? record.clearedAt : record.endings.back().at; };
+    const auto lastNews = [](const Record &record) { return record.crashes.empty() ? record.clearedAt : record.crashes.back().at; };
     auto first = m_records.end();
     for (auto record = m_records.begin(); record != m_records.end(); ++record) {
-        if (record->second.endings.size() != fewest) {
+        if (record->second.crashes.size() != fewest) {
             continue;
         }
         if (first == m_records.end()) {
@@ -213,16 +213,16 @@
     erase(first);
 }
 
-std::vector<SuspectRow> SuspectBook::rows(TimePoint now) const
+std::vector<SuspectRow> SuspectTable::rows(TimePoint now) const
 {
     std::vector<SuspectRow> rows;
     for (const auto &[identity, record] : m_records) {
-        rows.push_back({record.suspect, standingOf(record, now), record.endings, record.clearedAt});
+        rows.push_back({record.suspect, standingOf(record, now), record.crashes, record.clearedAt});
     }
     std::ranges::stable_sort(rows, [](const SuspectRow &left, const SuspectRow &right) {
-        const bool isLeftHeld = left.standing.standing == Standing::Held;
-        const bool isRightHeld = right.standing.standing == Standing::Held;
-        return isLeftHeld != isRightHeld ? isLeftHeld : left.standing.endings > right.standing.endings;
+        const bool isLeftHeld = left.state.state == SuspectState::Quarantined;
+        const bool isRightHeld = right.state.state == SuspectState::Quarantined;
+        return isLeftHeld != isRightHeld ? isLeftHeld : left.state.crashes > right.state.crashes;
     });
     return rows;
 }
