--- a/src/fleet/configurationstorm_test.cpp
+++ b/src/fleet/configurationstorm_test.cpp
@@ -1,5 +1,5 @@
 // Configurations in quick succession through a whole fleet on virtual time: watchers, relays and followers with the queues, pieces and
-// assemblers of the service, links of ten megabits a second, datagrams that are lost, and hosts that ask when they are behind.
+// assemblers of the service, links of ten megabits a second, lost datagrams, and hosts that request changes when they are behind.
 
 #include "fleet/batchpieces.h"
 #include "fleet/changequeue.h"
@@ -21,14 +21,14 @@
 {
 
 constexpr double linkBytesPerSecond = 10e6 / 8;
-constexpr std::size_t datagramBytes = 1300; ///< of a piece, at the most
+constexpr std::size_t datagramBytes = 1300; ///< of a piece, at most
 constexpr Duration oneWay = 1ms;
 constexpr std::size_t domains = 3;
 constexpr std::size_t watchers = 3;
 constexpr std::size_t relaysEach = 2;
-constexpr std::size_t directFleet = 24; ///< up to so many hosts tell each other directly
-constexpr Duration patience = 800ms; ///< until a host that hears of a later version asks
-constexpr Duration questionPause = 300ms;
+constexpr std::size_t maxDirectHosts = 24; ///< up to so many hosts send changes to each other directly
+constexpr Duration patience = 800ms; ///< until a host that learns of a later version requests it
+constexpr Duration requestPause = 300ms;
 
 struct Storm
 {
@@ -64,7 +64,7 @@
     {
         for (std::uint64_t version = 1; version <= storm.versions; ++version) {
             const SharedBatch batch{0, version, version + 1, {{"main", version + 1, false, configurationText(version, storm.routes)}}};
-            m_pieces.push_back(cutBatch(batch));
+            m_pieces.push_back(splitBatch(batch));
         }
     }
 
@@ -73,14 +73,14 @@
     {
         for (std::uint64_t version = 1; version <= m_storm.versions; ++version) {
             for (std::size_t watcher = 0; watcher < watchers; ++watcher) {
-                // Each hears of two versions of three, and of the last.
+                // Each receives two versions of three, and the last.
                 if (version % watchers != watcher || version == m_storm.versions) {
                     at(m_storm.gap * static_cast<std::int64_t>(version), [this, watcher, version] { share(watcher, version, ChangeReach::Fleet); });
                 }
             }
         }
         for (std::size_t host = 0; host < m_hosts.size(); ++host) {
-            at(std::chrono::milliseconds(m_random.below(100)), [this, host] { look(host); });
+            at(std::chrono::milliseconds(m_random.below(100)), [this, host] { checkPeers(host); });
         }
         const Duration last = m_storm.gap * static_cast<std::int64_t>(m_storm.versions);
         while (!m_events.empty() && m_now < last + 10s) {
@@ -95,7 +95,7 @@
         return std::nullopt;
     }
 
-    /** Of the busiest link, while the storm lasted. */
+    /** Utilization of the busiest link during the storm. */
     double busiestShare() const
     {
         const double seconds = toSeconds(m_storm.gap * static_cast<std::int64_t>(m_storm.versions));
@@ -132,16 +132,16 @@
 
     bool isRelay(std::size_t host) const
     {
-        // Neither of them a watcher.
-        return m_storm.hosts > directFleet && host >= watchers && host < watchers + domains * relaysEach;
+        // Relays are not watchers.
+        return m_storm.hosts > maxDirectHosts && host >= watchers && host < watchers + domains * relaysEach;
     }
 
-    /** Each with whether it passes the change on. */
+    /** The targets, each with whether it forwards the change. */
     std::vector<std::pair<std::size_t, bool>> targetsOf(std::size_t from, ChangeReach reach) const
     {
         std::vector<std::pair<std::size_t, bool>> targets;
         for (std::size_t host = 0; host < m_hosts.size(); ++host) {
-            const bool isNear = m_storm.hosts <= directFleet || host % domains == from % domains;
+            const bool isNear = m_storm.hosts <= maxDirectHosts || host % domains == from % domains;
             if (host != from && (isNear || (reach == ChangeReach::Fleet && isRelay(host)))) {
                 targets.emplace_back(host, !isNear);
             }
@@ -186,11 +186,11 @@
         const bool isInStorm = m_now < m_storm.gap * static_cast<std::int64_t>(m_storm.versions);
         host.sentInStorm += isInStorm ? datagramBytes : 0;
         if (m_random.uniform() >= m_storm.loss) {
-            at(host.linkFreeAt + oneWay, [this, target, piece, forward] { take(target, piece, forward); });
+            at(host.linkFreeAt + oneWay, [this, target, piece, forward] { receive(target, piece, forward); });
         }
     }
 
-    void take(std::size_t to, const BatchPiece &piece, bool forward)
+    void receive(std::size_t to, const BatchPiece &piece, bool forward)
     {
         const std::optional<SharedBatch> batch = m_hosts[to].assembler.add(piece);
         if (!batch) {
@@ -203,10 +203,10 @@
         }
     }
 
-    /** As a host looks at its peers' beacons, ten times a second. */
-    void look(std::size_t self)
+    /** Checks whether peers are ahead, as a host does from their beacons ten times a second. */
+    void checkPeers(std::size_t self)
     {
-        at(m_now + 100ms, [this, self] { look(self); });
+        at(m_now + 100ms, [this, self] { checkPeers(self); });
         Host &host = m_hosts[self];
         std::vector<std::size_t> ahead;
         for (std::size_t other = 0; other < m_hosts.size(); ++other) {
@@ -222,7 +222,7 @@
         if (m_now - *host.behindSince < patience || m_now < host.askAt) {
             return;
         }
-        host.askAt = m_now + questionPause;
+        host.askAt = m_now + requestPause;
         std::ranges::shuffle(ahead, m_random.engine());
         for (std::size_t i = 0; i < std::min<std::size_t>(2, ahead.size()); ++i) {
             for (const BatchPiece &piece : m_pieces[m_hosts[ahead[i]].known - 1]) {
@@ -244,8 +244,8 @@
 
 TEST_CASE("of 25 configurations 80 ms apart every host has the last within 1.5 s, at any size, and no link is more than half full", "[config-monotonic]")
 {
-    // A caller gets 404 for a route that was added seconds ago, since its host still has the configuration of before. The shortest bound of any
-    // deployment is 2 s from the acknowledgement, of which half a second is the watch's.
+    // Guards against a 404 for a route that was added seconds ago, because the host still has the previous configuration. The shortest bound of any
+    // deployment is 2 s from the acknowledgement, of which half a second is for the watch.
     for (const std::size_t hosts : {std::size_t{9}, std::size_t{86}, std::size_t{195}}) {
         Storm storm;
         storm.hosts = hosts;
@@ -260,7 +260,7 @@
 
 TEST_CASE("whatever a storm's gaps and sizes and the loss of datagrams, every host has the last configuration within 3 s", "[config-monotonic]")
 {
-    // Copies are lost on full links and in lossy ones. Whoever lacks a piece hears from its peers that there is more, and asks them.
+    // Copies are lost on full and on lossy links. A host that lacks a piece learns from its peers that it is behind, and requests the change from them.
     rc::prop("any storm", [] {
         Storm storm;
         storm.hosts = *rc::gen::element<std::size_t>(9, 30, 86);
--- a/src/quarantine/endinghistory_test.cpp
+++ b/src/quarantine/endinghistory_test.cpp
@@ -1,4 +1,4 @@
-// How likely it is that an endpoint ended under a request by chance.
+// The probability that an endpoint crashed under a request by coincidence.
 
 #include "quarantine/endinghistory.h"
 
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("where nothing else ends, a short run that is cut is hardly ever chance", "[quarantine]")
+TEST_CASE("where nothing else crashes, the crash of a short run is hardly ever a coincidence", "[quarantine]")
 {
     const CrashHistory history({});
     CHECK(chanceIn(history, runOf(1, 100ms)) < 0.001);
@@ -33,19 +33,19 @@
     CHECK(chanceIn(history, runOf(1, 100ms, 3)) > chanceIn(history, runOf(1, 100ms, 12)));
 }
 
-TEST_CASE("of engines that go down together, each request had its share of bad luck", "[quarantine]")
+TEST_CASE("where engines go down together, a crash is likely a coincidence", "[quarantine]")
 {
-    // A switch takes six of twelve engines. Whatever ran on one of them is no more suspect than the rest.
+    // A switch fails and takes six of twelve engines down. The requests on these are no more suspect than the others.
     CrashHistory history({});
     for (std::uint64_t incarnationKey = 1; incarnationKey <= 6; ++incarnationKey) {
         history.ended(incarnationKey, start + 60s);
-        history.ended(incarnationKey, start + 61s); // told again
+        history.ended(incarnationKey, start + 61s); // reported again
     }
     CHECK(chanceIn(history, runOf(1, 100ms)) == Approx(5.0 / 12));
     CHECK(chanceIn(history, runOf(1, 100ms, 2)) == 1.0);
 }
 
-TEST_CASE("what ended under the same request does not excuse it", "[quarantine]")
+TEST_CASE("crashes under the same request do not raise the probability of a coincidence", "[quarantine]")
 {
     CrashHistory history({});
     const std::array<std::uint64_t, 3> own{1, 2, 3};
@@ -56,10 +56,10 @@
     CHECK(chanceIn(history, runOf(4, 2s)) > 0.2);
 }
 
-TEST_CASE("endings of long ago count no more, and memory is bounded", "[quarantine]")
+TEST_CASE("old crashes no longer count, and memory is bounded", "[quarantine]")
 {
     CrashHistoryOptions options;
-    options.mostKept = 4;
+    options.maxEntries = 4;
     CrashHistory history(options);
     for (std::uint64_t incarnationKey = 1; incarnationKey <= 100; ++incarnationKey) {
         history.ended(incarnationKey, start + 20s);
--- a/src/quarantine/falseblame_test.cpp
+++ b/src/quarantine/falseblame_test.cpp
@@ -1,5 +1,5 @@
-// How often an innocent request is held, and how many endpoints a guilty one ends, in fleets where much crashes: on virtual time, with the
-// book, the history and the completions of each host, news that take their time, and engines that run many requests at once.
+// How often an unaffected request is quarantined, and how many endpoints a crashing one ends, in fleets with many crashes. Runs on
+// virtual time, with the suspect table, crash history and completions of each host, delayed messages, and engines that run many requests at once.
 
 #include "quarantine/completedrequests.h"
 #include "quarantine/endinghistory.h"
@@ -18,24 +18,24 @@
 namespace
 {
 
-/** What ends engines, whatever runs there. */
+/** Causes of crashes: failures of engines whatever runs there, and requests. */
 struct Trouble
 {
     std::string name;
     Duration every{}; ///< zero: never
     double share = 0; ///< of the engines, at once
     bool isFlapping = false; ///< the same engines each time
-    int guilty = 0; ///< requests that end what runs them
-    int copies = 1; ///< of each guilty one, at once
+    int crashing = 0; ///< requests that crash what runs them
+    int copies = 1; ///< of each crashing one, at once
 };
 
 struct Outcome
 {
-    int innocent = 0; ///< attempts
-    int turnedAway = 0; ///< of these
-    int popularTurnedAway = 0; ///< of these, of requests that many callers send
+    int unaffected = 0; ///< attempts
+    int rejected = 0; ///< of these
+    int popularRejected = 0; ///< of these, of requests that many callers send
     int brokenStreams = 0;
-    int guiltyEndings = 0; ///< the most under one guilty request
+    int maxCrashesPerRequest = 0; ///< largest number for one crashing request
 };
 
 class Fleet
@@ -53,7 +53,7 @@
         for (std::size_t i = 0; i < engineCount; ++i) {
             m_engines.push_back({i + 1, {}, {}});
         }
-        m_nextLife = engineCount + 1;
+        m_nextIncarnation = engineCount + 1;
     }
 
     Outcome run(Duration time)
@@ -67,8 +67,8 @@
                 trouble(passed);
             }
         }
-        for (const auto &[number, crashes] : m_guiltyEndings) {
-            m_outcome.guiltyEndings = std::max(m_outcome.guiltyEndings, crashes);
+        for (const auto &[number, crashes] : m_crashesByRequest) {
+            m_outcome.maxCrashesPerRequest = std::max(m_outcome.maxCrashesPerRequest, crashes);
         }
         return m_outcome;
     }
@@ -77,13 +77,13 @@
     static constexpr std::size_t hostCount = 9;
     static constexpr std::size_t engineCount = 12;
     static constexpr Duration step = 10ms;
-    static constexpr Duration newsTime = 80ms; ///< look at the break, and the way
-    static constexpr Duration away = 3s; ///< of an engine that ended
+    static constexpr Duration messageDelay = 80ms; ///< detection of the crash, and transmission
+    static constexpr Duration downtime = 3s; ///< downtime of an engine that crashed
     static constexpr std::uint64_t popularRequests = 20; ///< at a time
-    static constexpr Duration popularLife = 40s; ///< then another takes its place: one each two seconds
-    static constexpr Duration calm = 10s; ///< before the trouble
+    static constexpr Duration popularLifetime = 40s; ///< then another replaces it: one each two seconds
+    static constexpr Duration calm = 10s; ///< before the first crash
     static constexpr std::uint64_t firstOther = 1000;
-    static constexpr std::uint64_t guiltyFrom = 1'000'000'000;
+    static constexpr std::uint64_t firstCrashing = 1'000'000'000;
     inline static const TimePoint began = TimePoint(10h);
 
     struct Run
@@ -92,7 +92,7 @@
         std::size_t host = 0;
         TimePoint since{};
         TimePoint until{};
-        bool repeats = false; ///< its caller sends it until it is answered
+        bool repeats = false; ///< its caller retries until it is answered
     };
     struct Engine
     {
@@ -102,17 +102,17 @@
     };
     struct Host
     {
-        SuspectTable book;
+        SuspectTable table;
         CrashHistory history;
         CompletedRequests completed;
         std::set<std::uint64_t> suspectsRunning;
     };
-    struct News
+    struct Message
     {
         TimePoint at{};
         std::size_t from = 0;
         Suspect suspect;
-        std::optional<Crash> ending; ///< none: cleared
+        std::optional<Crash> crash; ///< none: cleared
     };
     struct Repeat
     {
@@ -135,8 +135,8 @@
 
     static std::uint64_t popularNow(Duration passed, std::uint64_t number)
     {
-        const Duration shifted = passed + popularLife / popularRequests * static_cast<int>(number);
-        return 1 + number + popularRequests * static_cast<std::uint64_t>(shifted / popularLife);
+        const Duration shifted = passed + popularLifetime / popularRequests * static_cast<int>(number);
+        return 1 + number + popularRequests * static_cast<std::uint64_t>(shifted / popularLifetime);
     }
 
     void arrivals(Duration passed)
@@ -155,10 +155,10 @@
         for (const Repeat &repeat : due) {
             send(repeat.request, true);
         }
-        constexpr Duration guiltyPause = 700ms;
-        for (int i = 0; i < m_trouble.guilty && passed >= calm && passed % guiltyPause == Duration::zero(); ++i) {
+        constexpr Duration crashingPause = 700ms;
+        for (int i = 0; i < m_trouble.crashing && passed >= calm && passed % crashingPause == Duration::zero(); ++i) {
             for (int copy = 0; copy < m_trouble.copies; ++copy) {
-                send(guiltyFrom + static_cast<std::uint64_t>(i), false);
+                send(firstCrashing + static_cast<std::uint64_t>(i), false);
             }
         }
     }
@@ -176,16 +176,16 @@
     {
         const std::size_t number = m_random() % hostCount;
         Host &host = m_hosts[number];
-        const bool isGuilty = request >= guiltyFrom;
-        m_outcome.innocent += isGuilty ? 0 : 1;
+        const bool isCrashing = request >= firstCrashing;
+        m_outcome.unaffected += isCrashing ? 0 : 1;
         const std::string body = bodyOf(request);
-        if (host.book.knowsShape(request) && host.completed.has({"", "", "", "", body}, m_now)) {
+        if (host.table.knowsShape(request) && host.completed.has({"", "", "", "", body}, m_now)) {
             clear(number, request);
         }
-        const SuspectState state = host.book.state({request, request}, m_now).state;
+        const SuspectState state = host.table.state({request, request}, m_now).state;
         if (state == SuspectState::Quarantined) {
-            m_outcome.turnedAway += isGuilty ? 0 : 1;
-            m_outcome.popularTurnedAway += request < firstOther ? 1 : 0;
+            m_outcome.rejected += isCrashing ? 0 : 1;
+            m_outcome.popularRejected += request < firstOther ? 1 : 0;
             return;
         }
         if (state == SuspectState::Suspect && !host.suspectsRunning.insert(request).second) {
@@ -206,11 +206,11 @@
         const auto rank = [request](const Engine *engine) { return (request * 2654435761U) ^ (engine->incarnationKey * 40503U * request); };
         Engine &engine = state == SuspectState::Suspect ? **std::ranges::max_element(up, {}, rank) : *up[m_random() % up.size()];
         constexpr double meanSeconds = 1.5;
-        const Duration length = isGuilty ? 100ms : 100ms + fromSeconds(std::exponential_distribution<double>(1 / meanSeconds)(m_random));
+        const Duration length = isCrashing ? 100ms : 100ms + fromSeconds(std::exponential_distribution<double>(1 / meanSeconds)(m_random));
         engine.runs.push_back({request, number, m_now, m_now + length, repeats});
     }
 
-    /** Leaves the half with the fewest runs. */
+    /** Keeps the half with the fewest runs. */
     static void keepQuiet(std::vector<Engine *> &up)
     {
         std::ranges::stable_sort(up, {}, [](const Engine *engine) { return engine->runs.size(); });
@@ -220,10 +220,10 @@
     void completions()
     {
         for (Engine &engine : m_engines) {
-            const bool hasGuilty = std::ranges::any_of(engine.runs, [this](const Run &run) { return run.request >= guiltyFrom && run.until <= m_now; });
-            if (hasGuilty) {
+            const bool hasCrashing = std::ranges::any_of(engine.runs, [this](const Run &run) { return run.request >= firstCrashing && run.until <= m_now; });
+            if (hasCrashing) {
                 for (const Run &run : engine.runs) {
-                    m_guiltyEndings[run.request] += run.request >= guiltyFrom && run.until <= m_now ? 1 : 0;
+                    m_crashesByRequest[run.request] += run.request >= firstCrashing && run.until <= m_now ? 1 : 0;
                 }
                 end(engine);
                 continue;
@@ -243,33 +243,33 @@
         host.suspectsRunning.erase(run.request);
         const std::string body = bodyOf(run.request);
         host.completed.add({"", "", "", "", body}, m_now);
-        if (host.book.knowsShape(run.request)) {
+        if (host.table.knowsShape(run.request)) {
             clear(run.host, run.request);
         }
     }
 
     void clear(std::size_t host, std::uint64_t request)
     {
-        m_hosts[host].book.markCleared(suspectOf(request), m_now, m_now);
-        m_news.push_back({m_now + newsTime, host, suspectOf(request), std::nullopt});
+        m_hosts[host].table.markCleared(suspectOf(request), m_now, m_now);
+        m_messages.push_back({m_now + messageDelay, host, suspectOf(request), std::nullopt});
     }
 
     void end(Engine &engine)
     {
         for (const Run &run : engine.runs) {
-            m_outcome.brokenStreams += run.request < guiltyFrom ? 1 : 0;
-            strike(run, engine.incarnationKey);
+            m_outcome.brokenStreams += run.request < firstCrashing ? 1 : 0;
+            recordInterruption(run, engine.incarnationKey);
             constexpr Duration callerPause = 200ms;
             if (run.repeats) {
                 m_repeats.push_back({m_now + callerPause, run.request});
             }
         }
         engine.runs.clear();
-        engine.incarnationKey = m_nextLife++;
-        engine.backAt = m_now + away;
+        engine.incarnationKey = m_nextIncarnation++;
+        engine.backAt = m_now + downtime;
     }
 
-    void strike(const Run &run, std::uint64_t incarnationKey)
+    void recordInterruption(const Run &run, std::uint64_t incarnationKey)
     {
         Host &host = m_hosts[run.host];
         host.suspectsRunning.erase(run.request);
@@ -279,27 +279,27 @@
             return;
         }
         std::vector<std::uint64_t> own;
-        for (const Crash &before : host.book.crashes({run.request, run.request})) {
+        for (const Crash &before : host.table.crashes({run.request, run.request})) {
             own.push_back(before.incarnationKey);
         }
         const double chance = host.history.chanceOf({incarnationKey, run.since, m_now, engineCount}, own, m_now);
-        const Crash ending{incarnationKey, static_cast<std::uint32_t>(incarnationKey), m_now, static_cast<float>(chance)};
-        host.book.addCrash(suspectOf(run.request), ending, m_now);
-        m_news.push_back({m_now + newsTime, run.host, suspectOf(run.request), ending});
+        const Crash crash{incarnationKey, static_cast<std::uint32_t>(incarnationKey), m_now, static_cast<float>(chance)};
+        host.table.addCrash(suspectOf(run.request), crash, m_now);
+        m_messages.push_back({m_now + messageDelay, run.host, suspectOf(run.request), crash});
     }
 
     void deliver()
     {
-        for (const News &news : takeDue(m_news)) {
+        for (const Message &message : takeDue(m_messages)) {
             for (std::size_t i = 0; i < hostCount; ++i) {
-                if (i == news.from) {
+                if (i == message.from) {
                     continue;
                 }
-                if (news.ending) {
-                    m_hosts[i].history.ended(news.ending->incarnationKey, news.ending->at);
-                    m_hosts[i].book.addCrash(news.suspect, *news.ending, m_now);
+                if (message.crash) {
+                    m_hosts[i].history.ended(message.crash->incarnationKey, message.crash->at);
+                    m_hosts[i].table.addCrash(message.suspect, *message.crash, m_now);
                 } else {
-                    m_hosts[i].book.markCleared(news.suspect, m_now - newsTime, m_now);
+                    m_hosts[i].table.markCleared(message.suspect, m_now - messageDelay, m_now);
                 }
             }
         }
@@ -325,12 +325,12 @@
     std::mt19937 m_random;
     std::vector<Host> m_hosts;
     std::vector<Engine> m_engines;
-    std::vector<News> m_news;
+    std::vector<Message> m_messages;
     std::vector<Repeat> m_repeats;
-    std::map<std::uint64_t, int> m_guiltyEndings;
+    std::map<std::uint64_t, int> m_crashesByRequest;
     Outcome m_outcome;
     TimePoint m_now{};
-    std::uint64_t m_nextLife = 1;
+    std::uint64_t m_nextIncarnation = 1;
     std::uint64_t m_nextRequest = firstOther;
 };
 
@@ -353,24 +353,24 @@
 
 } // namespace
 
-TEST_CASE("few innocent requests are held, whatever crashes, and no guilty one goes on", "[quarantine]")
+TEST_CASE("few unaffected requests are quarantined, whatever crashes, and no crashing one keeps ending endpoints", "[quarantine]")
 {
-    // A held request is a service that its caller is owed. Of a thousand innocent attempts one may be turned away, as engines crash
-    // each second, racks go and guilty requests go round. A guilty request ends three endpoints before it is known and at most
-    // three more, by what operators allow.
+    // A quarantined request is service refused to its caller. Of a thousand unaffected attempts one may be rejected while engines crash each
+    // second, racks fail and crashing requests are sent. A crashing request ends three endpoints before it is quarantined, and operators allow at
+    // most three more.
     for (const Trouble &trouble : troubles()) {
         Outcome all;
         constexpr std::uint32_t seeds = 12;
         for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
             const Outcome outcome = Fleet(trouble, seed).run(90s);
-            all.innocent += outcome.innocent;
-            all.turnedAway += outcome.turnedAway;
-            all.guiltyEndings = std::max(all.guiltyEndings, outcome.guiltyEndings);
+            all.unaffected += outcome.unaffected;
+            all.rejected += outcome.rejected;
+            all.maxCrashesPerRequest = std::max(all.maxCrashesPerRequest, outcome.maxCrashesPerRequest);
         }
-        INFO(trouble.name << ": " << all.turnedAway << " of " << all.innocent << " turned away; " << all.guiltyEndings << " endings");
-        CHECK(all.turnedAway * 1000 <= all.innocent);
-        CHECK(all.guiltyEndings <= 6);
-        CHECK((trouble.guilty == 0 || all.guiltyEndings >= 3));
+        INFO(trouble.name << ": " << all.rejected << " of " << all.unaffected << " turned away; " << all.maxCrashesPerRequest << " endings");
+        CHECK(all.rejected * 1000 <= all.unaffected);
+        CHECK(all.maxCrashesPerRequest <= 6);
+        CHECK((trouble.crashing == 0 || all.maxCrashesPerRequest >= 3));
     }
 }
 
@@ -383,14 +383,14 @@
             constexpr std::uint32_t seeds = 100;
             for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
                 const Outcome outcome = Fleet(trouble, seed, weighsChance).run(90s);
-                all.innocent += outcome.innocent;
-                all.turnedAway += outcome.turnedAway;
-                all.popularTurnedAway += outcome.popularTurnedAway;
+                all.unaffected += outcome.unaffected;
+                all.rejected += outcome.rejected;
+                all.popularRejected += outcome.popularRejected;
                 all.brokenStreams += outcome.brokenStreams;
-                all.guiltyEndings = std::max(all.guiltyEndings, outcome.guiltyEndings);
+                all.maxCrashesPerRequest = std::max(all.maxCrashesPerRequest, outcome.maxCrashesPerRequest);
             }
-            std::cout << "  " << trouble.name << ": turned away " << all.turnedAway << " (popular " << all.popularTurnedAway << ") of " << all.innocent
-                      << ", broken " << all.brokenStreams << ", most endings under a guilty request " << all.guiltyEndings << '\n';
+            std::cout << "  " << trouble.name << ": turned away " << all.rejected << " (popular " << all.popularRejected << ") of " << all.unaffected
+                      << ", broken " << all.brokenStreams << ", most endings under a guilty request " << all.maxCrashesPerRequest << '\n';
         }
     }
 }
--- a/src/quarantine/suspectbook.cpp
+++ b/src/quarantine/suspectbook.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** An order that does not depend on who heard what first. */
+/** An order that does not depend on the order of arrival. */
 bool isEarlier(const Crash &left, const Crash &right)
 {
     return left.at != right.at ? left.at < right.at : left.incarnationKey < right.incarnationKey;
@@ -16,27 +16,27 @@
 
 } // namespace
 
-std::size_t SuspectTable::momentsOf(std::span<const Crash> crashes) const
+std::size_t SuspectTable::crashEventsOf(std::span<const Crash> crashes) const
 {
-    std::size_t moments = 0;
+    std::size_t events = 0;
     TimePoint began{};
-    for (const Crash &ending : crashes) {
-        if (moments == 0 || ending.at - began > m_options.crashEventWindow) {
-            ++moments;
-            began = ending.at;
+    for (const Crash &crash : crashes) {
+        if (events == 0 || crash.at - began > m_options.crashEventWindow) {
+            ++events;
+            began = crash.at;
         }
     }
-    return moments;
+    return events;
 }
 
-bool SuspectTable::proves(std::span<const Crash> crashes) const
+bool SuspectTable::isProven(std::span<const Crash> crashes) const
 {
-    if (crashes.size() < m_options.crashesToQuarantine || momentsOf(crashes) < m_options.crashEventsToQuarantine) {
+    if (crashes.size() < m_options.crashesToQuarantine || crashEventsOf(crashes) < m_options.crashEventsToQuarantine) {
         return false;
     }
     double chance = 1;
-    for (const Crash &ending : crashes) {
-        chance *= ending.chance;
+    for (const Crash &crash : crashes) {
+        chance *= crash.chance;
     }
     return chance <= m_options.chanceToQuarantine || crashes.size() >= m_options.sufficientCrashes;
 }
@@ -44,23 +44,23 @@
 std::optional<TimePoint> SuspectTable::quarantinedUntil(std::span<const Crash> crashes) const
 {
     std::optional<TimePoint> until;
-    Duration hold = m_options.firstQuarantine;
+    Duration duration = m_options.firstQuarantine;
     for (std::size_t count = 1; count <= crashes.size(); ++count) {
         const TimePoint at = crashes[count - 1].at;
         if (!until) {
-            if (proves(crashes.first(count))) {
-                until = at + hold;
+            if (isProven(crashes.first(count))) {
+                until = at + duration;
             }
         } else if (at > *until) {
-            // Let run after its hold, it ended an endpoint again.
-            hold = std::min(hold * 2, m_options.maxQuarantine);
-            until = at + hold;
+            // It ran after its quarantine and crashed an endpoint again.
+            duration = std::min(duration * 2, m_options.maxQuarantine);
+            until = at + duration;
         }
     }
     return until;
 }
 
-SuspectStatus SuspectTable::standingOf(const Record &record, TimePoint now) const
+SuspectStatus SuspectTable::statusOf(const Record &record, TimePoint now) const
 {
     SuspectStatus state;
     state.crashes = record.crashes.size();
@@ -76,7 +76,7 @@
 SuspectStatus SuspectTable::state(const RequestIdentity &identity, TimePoint now) const
 {
     const auto found = m_records.find(identity);
-    return found == m_records.end() ? SuspectStatus() : standingOf(found->second, now);
+    return found == m_records.end() ? SuspectStatus() : statusOf(found->second, now);
 }
 
 std::span<const Crash> SuspectTable::crashes(const RequestIdentity &identity) const
@@ -85,48 +85,48 @@
     return found == m_records.end() ? std::span<const Crash>() : found->second.crashes;
 }
 
-bool SuspectTable::add(Record &record, const Crash &ending) const
+bool SuspectTable::add(Record &record, const Crash &crash) const
 {
     std::vector<Crash> &crashes = record.crashes;
-    const auto known = std::ranges::find(crashes, ending.incarnationKey, &Crash::incarnationKey);
+    const auto known = std::ranges::find(crashes, crash.incarnationKey, &Crash::incarnationKey);
     if (known != crashes.end()) {
-        // News come later than what they tell of, never earlier: of two hosts' times the first is nearer the truth.
-        known->at = std::min(known->at, ending.at);
-        // Whoever saw more endings beside it knows better.
-        known->chance = std::max(known->chance, ending.chance);
+        // A report is later than the crash, never earlier, so of two hosts' times the earlier is more accurate.
+        known->at = std::min(known->at, crash.at);
+        // The host that saw more other crashes has the better estimate.
+        known->chance = std::max(known->chance, crash.chance);
         std::ranges::sort(crashes, isEarlier);
         return false;
     }
-    crashes.insert(std::ranges::upper_bound(crashes, ending, isEarlier), ending);
+    crashes.insert(std::ranges::upper_bound(crashes, crash, isEarlier), crash);
     if (crashes.size() > m_options.maxCrashesKept) {
         crashes.erase(crashes.begin() + static_cast<std::ptrdiff_t>(m_options.sufficientCrashes));
     }
     return true;
 }
 
-SuspectChange SuspectTable::addCrash(const Suspect &suspect, const Crash &ending, TimePoint now)
+SuspectChange SuspectTable::addCrash(const Suspect &suspect, const Crash &crash, TimePoint now)
 {
     const auto known = m_records.find(suspect.identity);
     SuspectChange change;
-    if (known != m_records.end() && ending.at <= known->second.clearedAt) {
-        change.after = standingOf(known->second, now);
+    if (known != m_records.end() && crash.at <= known->second.clearedAt) {
+        change.after = statusOf(known->second, now);
         change.before = change.after.state;
         return change;
     }
     Record &record = known != m_records.end() ? known->second : recordOf(suspect);
-    change.before = standingOf(record, now).state;
+    change.before = statusOf(record, now).state;
     if (record.crashes.empty()) {
         ++m_shapes[record.suspect.shape];
     }
-    change.isNew = add(record, ending);
-    change.after = standingOf(record, now);
+    change.isNew = add(record, crash);
+    change.after = statusOf(record, now);
     return change;
 }
 
 bool SuspectTable::markCleared(const Suspect &suspect, TimePoint at, TimePoint now)
 {
     const auto known = m_records.find(suspect.identity);
-    // What nobody suspects needs no word; but endings before it may still be on their way.
+    // A request that is not suspected needs no record, except that crashes before this may still arrive.
     if (known == m_records.end() && now - at > m_options.suspectLifetime) {
         return false;
     }
@@ -136,7 +136,7 @@
     }
     record.clearedAt = at;
     const bool wasSuspected = !record.crashes.empty();
-    std::erase_if(record.crashes, [at](const Crash &ending) { return ending.at <= at; });
+    std::erase_if(record.crashes, [at](const Crash &crash) { return crash.at <= at; });
     if (wasSuspected && record.crashes.empty()) {
         dropShape(record.suspect.shape);
     }
@@ -151,20 +151,20 @@
     }
 }
 
-bool SuspectTable::isOver(const Record &record, TimePoint now) const
+bool SuspectTable::isExpired(const Record &record, TimePoint now) const
 {
     if (record.crashes.empty()) {
         return now - record.clearedAt > m_options.suspectLifetime;
     }
     const std::optional<TimePoint> until = quarantinedUntil(record.crashes);
-    // One that was held is known for longer: if it ends an endpoint again, it is held again at once.
+    // A record with a quarantine is retained for longer: if the request crashes an endpoint again, it is quarantined again at once.
     return until ? now - *until > m_options.maxQuarantine : now - record.crashes.back().at > m_options.suspectLifetime;
 }
 
 void SuspectTable::forget(TimePoint now)
 {
     for (auto record = m_records.begin(); record != m_records.end();) {
-        record = isOver(record->second, now) ? erase(record) : std::next(record);
+        record = isExpired(record->second, now) ? erase(record) : std::next(record);
     }
 }
 
@@ -179,12 +179,12 @@
 SuspectTable::Record &SuspectTable::recordOf(const Suspect &suspect)
 {
     if (m_records.size() >= m_options.maxSuspects) {
-        makeRoom();
+        evictOne();
     }
     return m_records.try_emplace(suspect.identity, Record{suspect, {}, {}}).first->second;
 }
 
-void SuspectTable::makeRoom()
+void SuspectTable::evictOne()
 {
     std::size_t fewest = m_options.maxCrashesKept;
     for (const auto &[identity, record] : m_records) {
@@ -194,7 +194,7 @@
     for (const auto &[identity, record] : m_records) {
         ofCustomer[record.suspect.customer] += record.crashes.size() == fewest ? 1 : 0;
     }
-    const auto lastNews = [](const Record &record) { return record.crashes.empty() ? record.clearedAt : record.crashes.back().at; };
+    const auto lastChange = [](const Record &record) { return record.crashes.empty() ? record.clearedAt : record.crashes.back().at; };
     auto first = m_records.end();
     for (auto record = m_records.begin(); record != m_records.end(); ++record) {
         if (record->second.crashes.size() != fewest) {
@@ -206,7 +206,7 @@
         }
         const std::size_t others = ofCustomer[record->second.suspect.customer];
         const std::size_t firstOthers = ofCustomer[first->second.suspect.customer];
-        if (others > firstOthers || (others == firstOthers && lastNews(record->second) < lastNews(first->second))) {
+        if (others > firstOthers || (others == firstOthers && lastChange(record->second) < lastChange(first->second))) {
             first = record;
         }
     }
@@ -217,12 +217,12 @@
 {
     std::vector<SuspectRow> rows;
     for (const auto &[identity, record] : m_records) {
-        rows.push_back({record.suspect, standingOf(record, now), record.crashes, record.clearedAt});
+        rows.push_back({record.suspect, statusOf(record, now), record.crashes, record.clearedAt});
     }
     std::ranges::stable_sort(rows, [](const SuspectRow &left, const SuspectRow &right) {
-        const bool isLeftHeld = left.state.state == SuspectState::Quarantined;
-        const bool isRightHeld = right.state.state == SuspectState::Quarantined;
-        return isLeftHeld != isRightHeld ? isLeftHeld : left.state.crashes > right.state.crashes;
+        const bool isLeftQuarantined = left.state.state == SuspectState::Quarantined;
+        const bool isRightQuarantined = right.state.state == SuspectState::Quarantined;
+        return isLeftQuarantined != isRightQuarantined ? isLeftQuarantined : left.state.crashes > right.state.crashes;
     });
     return rows;
 }
