--- a/src/emulator/emulatedsuspects.h
+++ b/src/emulator/emulatedsuspects.h
@@ -3,7 +3,7 @@
 // What an emulated fleet's hosts know of requests that end engines: one book for all, with news that take their time.
 
 #include "base/time.h"
-#include "quarantine/endinghistory.h"
+#include "quarantine/crashhistory.h"
 #include "quarantine/suspectbook.h"
 
 #include <deque>
--- a/src/quarantine/falseblame_test.cpp
+++ b/src/quarantine/falseblame_test.cpp
@@ -2,7 +2,7 @@
 // virtual time, with the suspect table, crash history and completions of each host, delayed messages, and engines that run many requests at once.
 
 #include "quarantine/completedrequests.h"
-#include "quarantine/endinghistory.h"
+#include "quarantine/crashhistory.h"
 #include "quarantine/suspectbook.h"
 
 #include <catch2/catch.hpp>
