--- a/src/emulator/emulatedsuspects.h
+++ b/src/emulator/emulatedsuspects.h
@@ -4,7 +4,7 @@
 
 #include "base/time.h"
 #include "quarantine/crashhistory.h"
-#include "quarantine/suspectbook.h"
+#include "quarantine/suspecttable.h"
 
 #include <deque>
 
--- a/src/quarantine/falseblame_test.cpp
+++ b/src/quarantine/falseblame_test.cpp
@@ -3,7 +3,7 @@
 
 #include "quarantine/completedrequests.h"
 #include "quarantine/crashhistory.h"
-#include "quarantine/suspectbook.h"
+#include "quarantine/suspecttable.h"
 
 #include <catch2/catch.hpp>
 
--- a/src/quarantine/suspectbook.cpp
+++ b/src/quarantine/suspecttable.cpp
@@ -1,4 +1,4 @@
-#include "quarantine/suspectbook.h"
+#include "quarantine/suspecttable.h"
 
 #include <algorithm>
 
--- a/src/quarantine/suspectbook_test.cpp
+++ b/src/quarantine/suspecttable_test.cpp
@@ -1,6 +1,6 @@
 // Which requests the suspect table quarantines, and for how long.
 
-#include "quarantine/suspectbook.h"
+#include "quarantine/suspecttable.h"
 
 #include "quarantine/completedrequests.h"
 
