--- a/src/duties/usage_test.cpp
+++ b/src/duties/usage_test.cpp
@@ -44,7 +44,7 @@
         }
         for (const SharedUsage &usage : sentUpdates) {
             for (const SharedCount &count : usage.counts) {
-                std::uint32_t &known = largest[usage.life][count.customer];
+                std::uint32_t &known = largest[usage.incarnation][count.customer];
                 known = std::max(known, count.begun);
             }
         }
