--- a/src/gateway/endingwatch.cpp
+++ b/src/gateway/endingwatch.cpp
@@ -28,30 +28,30 @@
     return BreakEvidence::NoAnswer;
 }
 
-BreakVerdict verdictFrom(BreakEvidence evidence)
+BreakResult verdictFrom(BreakEvidence evidence)
 {
     switch (evidence) {
     case BreakEvidence::OtherStands:
     case BreakEvidence::Accepted:
-        return BreakVerdict::Lives;
+        return BreakResult::Lives;
     case BreakEvidence::Refused:
-        return BreakVerdict::Ended;
+        return BreakResult::Ended;
     case BreakEvidence::NoAnswer:
         break;
     }
-    return BreakVerdict::Unknown;
+    return BreakResult::Unknown;
 }
 
 } // namespace
 
-std::string_view nameOf(BreakVerdict verdict)
+std::string_view nameOf(BreakResult verdict)
 {
     switch (verdict) {
-    case BreakVerdict::Ended:
+    case BreakResult::Ended:
         return "ended";
-    case BreakVerdict::Lives:
+    case BreakResult::Lives:
         return "lives";
-    case BreakVerdict::Unknown:
+    case BreakResult::Unknown:
         break;
     }
     return "unknown";
@@ -72,7 +72,7 @@
     return "no answer";
 }
 
-void EndingWatch::broke(const BoardEndpoint &endpoint, std::size_t endpoints, const BrokenSend &send, TimePoint now)
+void CrashDetector::broke(const BoardEndpoint &endpoint, std::size_t endpoints, const BrokenSend &send, TimePoint now)
 {
     const auto [entry, isNew] = m_breaks.try_emplace(endpoint.id);
     if (isNew) {
@@ -87,7 +87,7 @@
     }
 }
 
-void EndingWatch::ask(Watched &watched, TimePoint now)
+void CrashDetector::ask(Watched &watched, TimePoint now)
 {
     watched.askedAt = now;
     watched.question = std::make_shared<EndpointConnection>(m_io);
@@ -99,7 +99,7 @@
     });
 }
 
-std::optional<BreakEvidence> EndingWatch::evidenceOf(Watched &watched, TimePoint now)
+std::optional<BreakEvidence> CrashDetector::evidenceOf(Watched &watched, TimePoint now)
 {
     if (watched.answer) {
         return evidenceFrom(*watched.answer);
@@ -117,7 +117,7 @@
     return std::nullopt;
 }
 
-void EndingWatch::tick(TimePoint now, ConnectionPool &pool)
+void CrashDetector::tick(TimePoint now, ConnectionPool &pool)
 {
     std::vector<std::shared_ptr<Watched>> decided;
     for (auto entry = m_breaks.begin(); entry != m_breaks.end();) {
@@ -142,7 +142,7 @@
     }
 }
 
-void EndingWatch::stop()
+void CrashDetector::stop()
 {
     for (const auto &[endpoint, watched] : m_breaks) {
         if (watched->question) {
--- a/src/gateway/endingwatch.h
+++ b/src/gateway/endingwatch.h
@@ -38,13 +38,13 @@
     friend bool operator==(const BrokenSend &, const BrokenSend &) = default;
 };
 
-enum class BreakVerdict : std::uint8_t {
+enum class BreakResult : std::uint8_t {
     Ended, ///< the endpoint's process
     Lives, ///< only connections broke
     Unknown, ///< it does not answer
 };
 
-std::string_view nameOf(BreakVerdict verdict);
+std::string_view nameOf(BreakResult verdict);
 
 /** What the verdict rests on. */
 enum class BreakEvidence : std::uint8_t {
@@ -60,20 +60,20 @@
 {
     BoardEndpoint endpoint; ///< as it was listed when the connection broke
     TimePoint at; ///< of the first break
-    BreakVerdict verdict = BreakVerdict::Unknown;
+    BreakResult verdict = BreakResult::Unknown;
     BreakEvidence evidence = BreakEvidence::NoAnswer;
     std::size_t endpoints = 1; ///< of its service, then
     std::vector<BrokenSend> sends;
 };
 
-class EndingWatch
+class CrashDetector
 {
 public:
     using Handler = std::function<void(const EndpointBreak &)>;
     /** Whether a connection to the endpoint that stood at that time still stands. */
     using SeenAlive = std::function<bool(const EndpointId &, TimePoint)>;
 
-    explicit EndingWatch(boost::asio::io_context &io)
+    explicit CrashDetector(boost::asio::io_context &io)
         : m_io(io)
     {
     }
--- a/src/gateway/endingwatch_test.cpp
+++ b/src/gateway/endingwatch_test.cpp
@@ -47,7 +47,7 @@
     asio::io_context io;
     FakeEndpoint listener;
     ConnectionPool pool{PoolOptions()};
-    EndingWatch watch{io};
+    CrashDetector watch{io};
     std::vector<EndpointBreak> verdicts;
     TimePoint now = SteadyClock::now();
 
@@ -67,7 +67,7 @@
     CHECK(watched.verdicts.empty());
     watched.pass(100ms);
     REQUIRE(watched.verdicts.size() == 1);
-    CHECK(watched.verdicts.front().verdict == BreakVerdict::Ended);
+    CHECK(watched.verdicts.front().verdict == BreakResult::Ended);
     CHECK(watched.verdicts.front().sends.size() == 2);
     CHECK(watched.watch.size() == 0);
 }
@@ -80,7 +80,7 @@
     watched.broke("r1");
     watched.pass(100ms);
     REQUIRE(watched.verdicts.size() == 1);
-    CHECK(watched.verdicts.front().verdict == BreakVerdict::Lives);
+    CHECK(watched.verdicts.front().verdict == BreakResult::Lives);
     CHECK(watched.pool.size() == 1);
 }
 
@@ -91,7 +91,7 @@
     watched.broke("r1");
     watched.pass(100ms);
     REQUIRE(watched.verdicts.size() == 1);
-    CHECK(watched.verdicts.front().verdict == BreakVerdict::Lives);
+    CHECK(watched.verdicts.front().verdict == BreakResult::Lives);
     CHECK(watched.listener.peers.empty());
 }
 
@@ -151,7 +151,7 @@
     watched.watch.broke(dark, 12, {RequestId("r1"), CustomerId("acme"), {1, 2}, 3, watched.now}, watched.now);
     watched.pass(600ms);
     REQUIRE(watched.verdicts.size() == 1);
-    CHECK(watched.verdicts.front().verdict == BreakVerdict::Unknown);
+    CHECK(watched.verdicts.front().verdict == BreakResult::Unknown);
 }
 
 TEST_CASE("the lines tell an endpoint that ended from a connection that broke, and which requests are the same one", "[quarantine]")
--- a/src/quarantine/falseblame_test.cpp
+++ b/src/quarantine/falseblame_test.cpp
@@ -32,7 +32,7 @@
 struct Outcome
 {
     int innocent = 0; ///< attempts
-    int turnedAway = 0; ///< of these
+    int rejectedAsSuspect = 0; ///< of these
     int popularTurnedAway = 0; ///< of these, of requests that many callers send
     int brokenStreams = 0;
     int guiltyEndings = 0; ///< the most under one guilty request
@@ -184,7 +184,7 @@
         }
         const Standing standing = host.book.standing({request, request}, m_now).standing;
         if (standing == Standing::Held) {
-            m_outcome.turnedAway += isGuilty ? 0 : 1;
+            m_outcome.rejectedAsSuspect += isGuilty ? 0 : 1;
             m_outcome.popularTurnedAway += request < firstOther ? 1 : 0;
             return;
         }
@@ -364,11 +364,11 @@
         for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
             const Outcome outcome = Fleet(trouble, seed).run(90s);
             all.innocent += outcome.innocent;
-            all.turnedAway += outcome.turnedAway;
+            all.rejectedAsSuspect += outcome.rejectedAsSuspect;
             all.guiltyEndings = std::max(all.guiltyEndings, outcome.guiltyEndings);
         }
-        INFO(trouble.name << ": " << all.turnedAway << " of " << all.innocent << " turned away; " << all.guiltyEndings << " endings");
-        CHECK(all.turnedAway * 1000 <= all.innocent);
+        INFO(trouble.name << ": " << all.rejectedAsSuspect << " of " << all.innocent << " turned away; " << all.guiltyEndings << " endings");
+        CHECK(all.rejectedAsSuspect * 1000 <= all.innocent);
         CHECK(all.guiltyEndings <= 6);
         CHECK((trouble.guilty == 0 || all.guiltyEndings >= 3));
     }
@@ -384,12 +384,12 @@
             for (std::uint32_t seed = 1; seed <= seeds; ++seed) {
                 const Outcome outcome = Fleet(trouble, seed, weighsChance).run(90s);
                 all.innocent += outcome.innocent;
-                all.turnedAway += outcome.turnedAway;
+                all.rejectedAsSuspect += outcome.rejectedAsSuspect;
                 all.popularTurnedAway += outcome.popularTurnedAway;
                 all.brokenStreams += outcome.brokenStreams;
                 all.guiltyEndings = std::max(all.guiltyEndings, outcome.guiltyEndings);
             }
-            std::cout << "  " << trouble.name << ": turned away " << all.turnedAway << " (popular " << all.popularTurnedAway << ") of " << all.innocent
+            std::cout << "  " << trouble.name << ": turned away " << all.rejectedAsSuspect << " (popular " << all.popularTurnedAway << ") of " << all.innocent
                       << ", broken " << all.brokenStreams << ", most endings under a guilty request " << all.guiltyEndings << '\n';
         }
     }
