--- a/src/gateway/endingwatch.cpp
+++ b/src/gateway/crashdetector.cpp
@@ -1,4 +1,4 @@
-#include "gateway/endingwatch.h"
+#include "gateway/crashdetector.h"
 
 #include <utility>
 
--- a/src/gateway/endingwatch_test.cpp
+++ b/src/gateway/crashdetector_test.cpp
@@ -1,6 +1,6 @@
 // What a broken connection proves of its endpoint, over real sockets.
 
-#include "gateway/endingwatch.h"
+#include "gateway/crashdetector.h"
 
 #include "gateway/gatewayfakes_test.h"
 
