--- a/src/gateway/crashdetector.cpp
+++ b/src/gateway/crashdetector.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-// All connections of a process that ends break within a round trip between failure domains and a turn of the event loop.
+// All connections of a process that ends break within a round trip between failure domains plus one iteration of the event loop.
 constexpr Duration gatherTime = 30ms;
-// As for a connection that carries a request: an endpoint that answers takes some ms.
-constexpr Duration questionLimit = 300ms;
-// Above what one host has at one endpoint; bounds memory.
-constexpr std::size_t mostSends = 512;
+// The same as for a connection that carries a request; a live endpoint accepts within some milliseconds.
+constexpr Duration probeTimeout = 300ms;
+// Bounds memory; more than one host has at one endpoint.
+constexpr std::size_t maxSends = 512;
 
 BreakEvidence evidenceFrom(ConnectEnd how)
 {
@@ -28,10 +28,10 @@
     return BreakEvidence::NoAnswer;
 }
 
-BreakResult verdictFrom(BreakEvidence evidence)
+BreakResult resultFrom(BreakEvidence evidence)
 {
     switch (evidence) {
-    case BreakEvidence::OtherStands:
+    case BreakEvidence::OtherConnectionOpen:
     case BreakEvidence::Accepted:
         return BreakResult::Lives;
     case BreakEvidence::Refused:
@@ -44,9 +44,9 @@
 
 } // namespace
 
-std::string_view nameOf(BreakResult verdict)
+std::string_view nameOf(BreakResult result)
 {
-    switch (verdict) {
+    switch (result) {
     case BreakResult::Ended:
         return "ended";
     case BreakResult::Lives:
@@ -60,7 +60,7 @@
 std::string_view nameOf(BreakEvidence evidence)
 {
     switch (evidence) {
-    case BreakEvidence::OtherStands:
+    case BreakEvidence::OtherConnectionOpen:
         return "another connection stands";
     case BreakEvidence::Accepted:
         return "accepts connections";
@@ -72,81 +72,81 @@
     return "no answer";
 }
 
-void CrashDetector::broke(const BoardEndpoint &endpoint, std::size_t endpoints, const BrokenSend &send, TimePoint now)
+void CrashDetector::reportBreak(const BoardEndpoint &endpoint, std::size_t endpoints, const BrokenSend &send, TimePoint now)
 {
     const auto [entry, isNew] = m_breaks.try_emplace(endpoint.id);
     if (isNew) {
-        entry->second = std::make_shared<Watched>();
+        entry->second = std::make_shared<PendingBreak>();
         entry->second->seen.endpoint = endpoint;
         entry->second->seen.at = now;
         entry->second->seen.endpoints = endpoints;
     }
     std::vector<BrokenSend> &sends = entry->second->seen.sends;
-    if (sends.size() < mostSends) {
+    if (sends.size() < maxSends) {
         sends.push_back(send);
     }
 }
 
-void CrashDetector::ask(Watched &watched, TimePoint now)
+void CrashDetector::startProbe(PendingBreak &pending, TimePoint now)
 {
-    watched.askedAt = now;
-    watched.question = std::make_shared<EndpointConnection>(m_io);
-    const std::weak_ptr<Watched> asked = m_breaks.at(watched.seen.endpoint.id);
-    watched.question->connect(watched.seen.endpoint.ip, watched.seen.endpoint.port, [asked](ConnectEnd how) {
-        if (const std::shared_ptr<Watched> stillAsked = asked.lock()) {
-            stillAsked->answer = how;
+    pending.probedAt = now;
+    pending.probe = std::make_shared<EndpointConnection>(m_io);
+    const std::weak_ptr<PendingBreak> weakPending = m_breaks.at(pending.seen.endpoint.id);
+    pending.probe->connect(pending.seen.endpoint.ip, pending.seen.endpoint.port, [weakPending](ConnectEnd how) {
+        if (const std::shared_ptr<PendingBreak> stillPending = weakPending.lock()) {
+            stillPending->answer = how;
         }
     });
 }
 
-std::optional<BreakEvidence> CrashDetector::evidenceOf(Watched &watched, TimePoint now)
+std::optional<BreakEvidence> CrashDetector::evidenceOf(PendingBreak &pending, TimePoint now)
 {
-    if (watched.answer) {
-        return evidenceFrom(*watched.answer);
+    if (pending.answer) {
+        return evidenceFrom(*pending.answer);
     }
-    if (watched.question) {
-        return now - watched.askedAt > questionLimit ? std::optional(BreakEvidence::NoAnswer) : std::nullopt;
+    if (pending.probe) {
+        return now - pending.probedAt > probeTimeout ? std::optional(BreakEvidence::NoAnswer) : std::nullopt;
     }
-    if (now - watched.seen.at < gatherTime) {
+    if (now - pending.seen.at < gatherTime) {
         return std::nullopt;
     }
-    if (m_seenAlive && m_seenAlive(watched.seen.endpoint.id, watched.seen.at)) {
-        return BreakEvidence::OtherStands;
+    if (m_aliveCheck && m_aliveCheck(pending.seen.endpoint.id, pending.seen.at)) {
+        return BreakEvidence::OtherConnectionOpen;
     }
-    ask(watched, now);
+    startProbe(pending, now);
     return std::nullopt;
 }
 
 void CrashDetector::tick(TimePoint now, ConnectionPool &pool)
 {
-    std::vector<std::shared_ptr<Watched>> decided;
+    std::vector<std::shared_ptr<PendingBreak>> decided;
     for (auto entry = m_breaks.begin(); entry != m_breaks.end();) {
-        Watched &watched = *entry->second;
-        const std::optional<BreakEvidence> evidence = evidenceOf(watched, now);
+        PendingBreak &pending = *entry->second;
+        const std::optional<BreakEvidence> evidence = evidenceOf(pending, now);
         if (!evidence) {
             ++entry;
             continue;
         }
-        watched.seen.evidence = *evidence;
-        watched.seen.verdict = verdictFrom(*evidence);
+        pending.seen.evidence = *evidence;
+        pending.seen.result = resultFrom(*evidence);
         decided.push_back(entry->second);
         entry = m_breaks.erase(entry);
     }
-    for (const std::shared_ptr<Watched> &watched : decided) {
-        if (watched->question && watched->answer == ConnectEnd::Open) {
-            pool.give(watched->seen.endpoint.id, watched->question, now);
-        } else if (watched->question) {
-            watched->question->cancel();
+    for (const std::shared_ptr<PendingBreak> &pending : decided) {
+        if (pending->probe && pending->answer == ConnectEnd::Open) {
+            pool.give(pending->seen.endpoint.id, pending->probe, now);
+        } else if (pending->probe) {
+            pending->probe->cancel();
         }
-        m_onVerdict(watched->seen);
+        m_onResult(pending->seen);
     }
 }
 
 void CrashDetector::stop()
 {
-    for (const auto &[endpoint, watched] : m_breaks) {
-        if (watched->question) {
-            watched->question->cancel();
+    for (const auto &[endpoint, pending] : m_breaks) {
+        if (pending->probe) {
+            pending->probe->cancel();
         }
     }
     m_breaks.clear();
--- a/src/gateway/crashdetector.h
+++ b/src/gateway/crashdetector.h
@@ -1,16 +1,17 @@
 #pragma once
 
-// Tells the end of an endpoint from the end of one connection to it.
+// Distinguishes a crashed endpoint from a broken connection.
 //
-// A request's connection breaks off when its endpoint ends, but also when the endpoint hangs up on this one request, when a
-// link harms it, or when this host's own connections are reset. Only the first says anything about the requests that ran there. So a break
-// is looked at a moment later: where another connection that stood before it still stands, the endpoint lives, and nothing is
-// sent. Otherwise one connection is opened: refused, the endpoint's process has ended; accepted, it lives, and the connection is
-// kept for the next request; without an answer, the host can't tell (a machine without power, a cut link), and nobody is blamed.
+// A request's connection breaks when its endpoint crashes, but also when the endpoint drops this one request, when a network link fails, or when this
+// host's own connections are reset. Only a crash says anything about the requests that ran on the endpoint. So each break is checked a moment later. If
+// another connection that was open before the break is still open, the endpoint is alive and nothing is sent. Otherwise a probe connection is opened:
+//   - refused: the endpoint's process has ended;
+//   - accepted: the endpoint is alive, and the connection goes to the pool for the next request;
+//   - no answer: the host can't tell (a machine without power, a cut link), and the failure is attributed to no request.
 //
-// All requests that broke off meanwhile are told together. Their number is bounded; beyond it the latest are left out.
+// All requests whose connections broke meanwhile are reported together. Their number is bounded; the latest ones beyond the bound are dropped.
 //
-// Cost: nothing without breaks; at most one connection an endpoint for each batch of them.
+// Cost: nothing without breaks; at most one connection per endpoint and batch of breaks.
 
 #include "base/time.h"
 #include "gateway/connectionpool.h"
@@ -26,7 +27,7 @@
 namespace Rhubarbwind
 {
 
-/** A request whose endpoint had it when its connection broke off. */
+/** A request that had been sent to an endpoint when the connection broke. */
 struct BrokenSend
 {
     RequestId attempt;
@@ -34,35 +35,35 @@
     RequestIdentity identity;
     std::uint64_t shape = 0;
     TimePoint sentAt;
-    bool completedLately = false; ///< the same request, at this host
+    bool completedRecently = false; ///< this host has recently completed the same request
     friend bool operator==(const BrokenSend &, const BrokenSend &) = default;
 };
 
 enum class BreakResult : std::uint8_t {
-    Ended, ///< the endpoint's process
+    Ended, ///< the endpoint's process has ended
     Lives, ///< only connections broke
-    Unknown, ///< it does not answer
+    Unknown, ///< the endpoint does not answer
 };
 
-std::string_view nameOf(BreakResult verdict);
+std::string_view nameOf(BreakResult result);
 
-/** What the verdict rests on. */
+/** What a BreakResult is based on. */
 enum class BreakEvidence : std::uint8_t {
-    OtherStands, ///< another connection
-    Accepted, ///< a new one
+    OtherConnectionOpen, ///< a connection from before the break is open
+    Accepted, ///< the probe connection was accepted
     Refused,
-    NoAnswer, ///< or this host could not ask
+    NoAnswer, ///< or this host could not open a connection
 };
 
 std::string_view nameOf(BreakEvidence evidence);
 
 struct EndpointBreak
 {
-    BoardEndpoint endpoint; ///< as it was listed when the connection broke
-    TimePoint at; ///< of the first break
-    BreakResult verdict = BreakResult::Unknown;
+    BoardEndpoint endpoint; ///< as listed when the connection broke
+    TimePoint at; ///< time of the first break
+    BreakResult result = BreakResult::Unknown;
     BreakEvidence evidence = BreakEvidence::NoAnswer;
-    std::size_t endpoints = 1; ///< of its service, then
+    std::size_t endpoints = 1; ///< endpoints of its service at that time
     std::vector<BrokenSend> sends;
 };
 
@@ -70,26 +71,26 @@
 {
 public:
     using Handler = std::function<void(const EndpointBreak &)>;
-    /** Whether a connection to the endpoint that stood at that time still stands. */
-    using SeenAlive = std::function<bool(const EndpointId &, TimePoint)>;
+    /** Returns whether a connection to the endpoint that was open at that time is still open. */
+    using AliveCheck = std::function<bool(const EndpointId &, TimePoint)>;
 
     explicit CrashDetector(boost::asio::io_context &io)
         : m_io(io)
     {
     }
 
-    void onVerdict(Handler handler)
+    void onResult(Handler handler)
     {
-        m_onVerdict = std::move(handler);
+        m_onResult = std::move(handler);
     }
-    void setSeenAlive(SeenAlive seenAlive)
+    void setAliveCheck(AliveCheck seenAlive)
     {
-        m_seenAlive = std::move(seenAlive);
+        m_aliveCheck = std::move(seenAlive);
     }
 
-    /** @param endpoints of its service */
-    void broke(const BoardEndpoint &endpoint, std::size_t endpoints, const BrokenSend &send, TimePoint now);
-    /** To be called some forty times a second. */
+    /** @param endpoints number of endpoints of its service */
+    void reportBreak(const BoardEndpoint &endpoint, std::size_t endpoints, const BrokenSend &send, TimePoint now);
+    /** Call about forty times a second. */
     void tick(TimePoint now, ConnectionPool &pool);
     void stop();
     std::size_t size() const
@@ -98,21 +99,21 @@
     }
 
 private:
-    struct Watched
+    struct PendingBreak
     {
         EndpointBreak seen;
-        std::shared_ptr<EndpointConnection> question; ///< null until it is asked
-        TimePoint askedAt{};
+        std::shared_ptr<EndpointConnection> probe; ///< null until the probe starts
+        TimePoint probedAt{};
         std::optional<ConnectEnd> answer;
     };
 
-    void ask(Watched &watched, TimePoint now);
-    std::optional<BreakEvidence> evidenceOf(Watched &watched, TimePoint now);
+    void startProbe(PendingBreak &pending, TimePoint now);
+    std::optional<BreakEvidence> evidenceOf(PendingBreak &pending, TimePoint now);
 
     boost::asio::io_context &m_io;
-    std::map<EndpointId, std::shared_ptr<Watched>> m_breaks;
-    Handler m_onVerdict;
-    SeenAlive m_seenAlive;
+    std::map<EndpointId, std::shared_ptr<PendingBreak>> m_breaks;
+    Handler m_onResult;
+    AliveCheck m_aliveCheck;
 };
 
 } // namespace Rhubarbwind
--- a/src/gateway/crashdetector_test.cpp
+++ b/src/gateway/crashdetector_test.cpp
@@ -1,4 +1,4 @@
-// What a broken connection proves of its endpoint, over real sockets.
+// What a broken connection proves about its endpoint, over real sockets.
 
 #include "gateway/crashdetector.h"
 
@@ -12,14 +12,14 @@
 namespace
 {
 
-/** A watch over one listening port, with a clock of the test's own for its pauses. */
-class Watched
+/** A detector for one listening port, with a simulated clock for its delays. */
+class DetectorScene
 {
 public:
-    Watched()
+    DetectorScene()
         : listener(io, [](Peer &, const std::string &) {})
     {
-        watch.onVerdict([this](const EndpointBreak &seen) { verdicts.push_back(seen); });
+        detector.onResult([this](const EndpointBreak &seen) { results.push_back(seen); });
     }
 
     BoardEndpoint endpoint() const
@@ -30,9 +30,9 @@
         listed.port = m_port;
         return listed;
     }
-    void broke(const std::string &attempt)
+    void reportBreak(const std::string &attempt)
     {
-        watch.broke(endpoint(), 12, {RequestId(attempt), CustomerId("acme"), {1, 2}, 3, now}, now);
+        detector.reportBreak(endpoint(), 12, {RequestId(attempt), CustomerId("acme"), {1, 2}, 3, now}, now);
     }
     void pass(Duration time)
     {
@@ -40,15 +40,15 @@
             now += 5ms;
             io.restart();
             io.run_for(std::chrono::milliseconds(2));
-            watch.tick(now, pool);
+            detector.tick(now, pool);
         }
     }
 
     asio::io_context io;
     FakeEndpoint listener;
     ConnectionPool pool{PoolOptions()};
-    CrashDetector watch{io};
-    std::vector<EndpointBreak> verdicts;
+    CrashDetector detector{io};
+    std::vector<EndpointBreak> results;
     TimePoint now = SteadyClock::now();
 
 private:
@@ -57,48 +57,48 @@
 
 } // namespace
 
-TEST_CASE("an endpoint that refuses connections after a break has ended; all its requests are told together", "[quarantine]")
+TEST_CASE("an endpoint that refuses connections after a break has ended; all its requests are reported together", "[quarantine]")
 {
-    Watched watched;
-    watched.listener.end();
-    watched.broke("r1");
-    watched.pass(10ms);
-    watched.broke("r2");
-    CHECK(watched.verdicts.empty());
-    watched.pass(100ms);
-    REQUIRE(watched.verdicts.size() == 1);
-    CHECK(watched.verdicts.front().verdict == BreakResult::Ended);
-    CHECK(watched.verdicts.front().sends.size() == 2);
-    CHECK(watched.watch.size() == 0);
+    DetectorScene scene;
+    scene.listener.end();
+    scene.reportBreak("r1");
+    scene.pass(10ms);
+    scene.reportBreak("r2");
+    CHECK(scene.results.empty());
+    scene.pass(100ms);
+    REQUIRE(scene.results.size() == 1);
+    CHECK(scene.results.front().result == BreakResult::Ended);
+    CHECK(scene.results.front().sends.size() == 2);
+    CHECK(scene.detector.size() == 0);
 }
 
-TEST_CASE("an endpoint that hangs up on one request lives, and the question's connection is kept", "[quarantine]")
+TEST_CASE("an endpoint that drops one request is alive, and the probe connection goes to the pool", "[quarantine]")
 {
-    // An engine breaks off a share of its answers on purpose, or a host's own connections are reset. Taken for an end, each
-    // such request would be blamed for an engine that runs on.
-    Watched watched;
-    watched.broke("r1");
-    watched.pass(100ms);
-    REQUIRE(watched.verdicts.size() == 1);
-    CHECK(watched.verdicts.front().verdict == BreakResult::Lives);
-    CHECK(watched.pool.size() == 1);
+    // An engine breaks off some of its answers on purpose, or a host's own connections are reset. If this counted as a crash, each such request would be
+    // suspected of crashing an engine that is still running.
+    DetectorScene scene;
+    scene.reportBreak("r1");
+    scene.pass(100ms);
+    REQUIRE(scene.results.size() == 1);
+    CHECK(scene.results.front().result == BreakResult::Lives);
+    CHECK(scene.pool.size() == 1);
 }
 
-TEST_CASE("where another connection still stands, the endpoint lives and nothing is opened", "[quarantine]")
+TEST_CASE("if another connection is still open, the endpoint is alive and no probe is sent", "[quarantine]")
 {
-    Watched watched;
-    watched.watch.setSeenAlive([&](const EndpointId &endpoint, TimePoint) { return endpoint == EndpointId("e1"); });
-    watched.broke("r1");
-    watched.pass(100ms);
-    REQUIRE(watched.verdicts.size() == 1);
-    CHECK(watched.verdicts.front().verdict == BreakResult::Lives);
-    CHECK(watched.listener.peers.empty());
+    DetectorScene scene;
+    scene.detector.setAliveCheck([&](const EndpointId &endpoint, TimePoint) { return endpoint == EndpointId("e1"); });
+    scene.reportBreak("r1");
+    scene.pass(100ms);
+    REQUIRE(scene.results.size() == 1);
+    CHECK(scene.results.front().result == BreakResult::Lives);
+    CHECK(scene.listener.peers.empty());
 }
 
-TEST_CASE("a connection that nobody reads does not speak for an endpoint that has ended", "[quarantine]")
+TEST_CASE("a connection that is not read does not hide the end of its endpoint", "[quarantine]")
 {
-    // A caller takes its stream slowly, so the host stops reading it. The endpoint ends, and that connection alone seems to stand: the
-    // request that ended it would never be blamed on a host with a slow caller.
+    // A caller receives its stream slowly, so the host stops reading from the endpoint. The endpoint crashes, and only that connection still looks open.
+    // A host with a slow caller would then never attribute the crash to the request that caused it.
     asio::io_context io;
     FakeEndpoint endpoint(io, [](Peer &peer, const std::string &request) { peer.send(streamTo(request) + chunk(event(1))); });
     const std::shared_ptr<EndpointConnection> connection = std::make_shared<EndpointConnection>(io);
@@ -117,25 +117,25 @@
     pass();
     endpoint.peers.front()->send(chunk(event(2)));
     pass();
-    CHECK(connection->stands());
+    CHECK(connection->isConnected());
     SECTION("reset")
     {
         endpoint.end();
-        CHECK_FALSE(connection->stands());
+        CHECK_FALSE(connection->isConnected());
     }
     SECTION("closed in order")
     {
         endpoint.peers.front()->finish();
-        CHECK_FALSE(connection->stands());
+        CHECK_FALSE(connection->isConnected());
     }
     CHECK_FALSE(hasEnded);
     connection->cancel();
 }
 
-TEST_CASE("without an answer the host can't tell, and nobody is blamed", "[quarantine]")
+TEST_CASE("without an answer to the probe the result is unknown", "[quarantine]")
 {
-    // The listener's queue is full, so that a connection gets no answer, as from a machine without power.
-    Watched watched;
+    // The listener's queue is full, so a connection gets no answer, as from a machine without power. No request may then be suspected.
+    DetectorScene scene;
     asio::io_context idle;
     tcp::acceptor full(idle, tcp::v4());
     full.bind({asio::ip::make_address("127.0.0.1"), 0});
@@ -146,18 +146,18 @@
         queued.back()->async_connect(full.local_endpoint(), [](boost::system::error_code) {});
     }
     idle.run_for(50ms);
-    BoardEndpoint dark = watched.endpoint();
-    dark.port = full.local_endpoint().port();
-    watched.watch.broke(dark, 12, {RequestId("r1"), CustomerId("acme"), {1, 2}, 3, watched.now}, watched.now);
-    watched.pass(600ms);
-    REQUIRE(watched.verdicts.size() == 1);
-    CHECK(watched.verdicts.front().verdict == BreakResult::Unknown);
+    BoardEndpoint unresponsive = scene.endpoint();
+    unresponsive.port = full.local_endpoint().port();
+    scene.detector.reportBreak(unresponsive, 12, {RequestId("r1"), CustomerId("acme"), {1, 2}, 3, scene.now}, scene.now);
+    scene.pass(600ms);
+    REQUIRE(scene.results.size() == 1);
+    CHECK(scene.results.front().result == BreakResult::Unknown);
 }
 
-TEST_CASE("the lines tell an endpoint that ended from a connection that broke, and which requests are the same one", "[quarantine]")
+TEST_CASE("log lines distinguish a crashed endpoint from a broken connection and identify the request", "[quarantine]")
 {
-    // On-call sees requests break off and engines come and go. Without these lines nobody can say whether the
-    // request is the same one each time, nor whether the engine ended under it or hung up on it.
+    // Failure: an operator sees requests break off and engines come and go, but can't tell whether it is the same request each time, nor whether the
+    // engine crashed or dropped the request.
     std::FILE *lines = std::tmpfile();
     Scene scene({}, fileno(lines));
     scene.endpoint("e1", [&scene](Peer &, const std::string &) { scene.endpoints[0]->end(); });
--- a/src/gateway/dutysession_test.cpp
+++ b/src/gateway/dutysession_test.cpp
@@ -1,4 +1,4 @@
-// Hosts that hold the fleet's duties in turn, over real sockets: a store with one object, and an API that keeps what it accepted.
+// Hosts that hold the fleet's duties in turn, over real sockets, with a store of one object and an API that records the calls it accepted.
 
 #include "duties/dutysession.h"
 
@@ -89,7 +89,7 @@
     std::vector<std::string> events;
 };
 
-/** Windows of a second, which settle in a fifth. */
+/** Usage windows of one second, which settle in a fifth of a second. */
 class DutyScene
 {
 public:
@@ -146,7 +146,7 @@
             io.restart();
             io.run_for(std::chrono::milliseconds(10));
             for (const std::unique_ptr<Host> &host : hosts) {
-                // What was counted differs from host to host and from moment to moment.
+                // The counted values differ between hosts and change over time.
                 const std::uint64_t window = static_cast<std::uint64_t>(timeMs() / 1000);
                 host->session->heard({1, window, {{customerKey(CustomerId(customer)), ++m_counted}}});
                 host->session->tick();
@@ -159,7 +159,7 @@
     FakeEndpoint store;
     FakeEndpoint api;
     std::vector<std::unique_ptr<Host>> hosts;
-    std::string object; ///< empty: there is none
+    std::string object; ///< empty: does not exist
     std::uint64_t version = 0;
     std::vector<std::string> reports; ///< accepted, as sent
     std::vector<std::string> orders;
@@ -203,7 +203,7 @@
     std::uint32_t m_counted = 0;
 };
 
-/** Without the number under which it came. */
+/** The calls without their fencing numbers. */
 std::set<std::string> contents(const std::vector<std::string> &calls)
 {
     std::set<std::string> texts;
@@ -226,8 +226,8 @@
 
 TEST_CASE("one host takes the duties, reports each window once and orders engines; when it stops another goes on", "[usage][at-most-once]")
 {
-    // A customer's bill has a window twice, or engines are ordered by two hosts, where a holder stops and its successor knows nothing of
-    // it. In order: the first host takes the lease, reports, stops and lets go; the second goes on where it ended.
+    // Failure: a holder stops and its successor does not know its state, so a window is billed twice or engines are ordered by two hosts. The first host
+    // takes the lease, reports, stops and releases the lease; the second continues where it ended.
     DutyScene scene;
     Host &first = scene.add("host-1");
     REQUIRE(scene.until([&] { return scene.reports.size() >= 2 && contents(scene.orders).size() == 2; }));
@@ -236,7 +236,7 @@
     first.session->setWanted(false);
     const TimePoint stopped = SteadyClock::now();
     REQUIRE(scene.until([&] { return second.session->lease().held; }));
-    CHECK(SteadyClock::now() - stopped < 1s); // let go, not run out
+    CHECK(SteadyClock::now() - stopped < 1s); // released, not expired
     CHECK_FALSE(first.session->lease().held);
     const std::size_t before = scene.reports.size();
     REQUIRE(scene.until([&] { return scene.reports.size() >= before + 2; }));
@@ -246,10 +246,10 @@
     CHECK(std::ranges::is_sorted(scene.reports, {}, [](const std::string &call) { return std::stoull(call); }));
 }
 
-TEST_CASE("a holder that stops while a call is under way lets go after it", "[usage][at-most-once]")
+TEST_CASE("a holder that stops during a call releases the lease after it", "[usage][at-most-once]")
 {
-    // The next holder waits a lease's time for nothing, and a window may be late. In order: a report goes out, the stop is ordered, the answer is
-    // lost and the call given up, the lease is let go.
+    // Failure: the next holder waits until the lease expires, and a window may be late. A report is sent, the stop is ordered, the answer is lost and the
+    // call times out, then the lease must be released.
     DutyScene scene;
     Host &first = scene.add("host-1");
     REQUIRE(scene.until([&] { return !scene.reports.empty(); }));
@@ -262,8 +262,8 @@
 
 TEST_CASE("a call that is given up is reset, so that nothing of it arrives later", "[usage][at-most-once]")
 {
-    // A holder's report is held up by a cut and given up; another host takes the duties and reports. When the cut heals, the system sends the bytes
-    // of a connection that was merely closed: an older number arrives after a newer one.
+    // Failure: a holder's report is delayed by a network cut and abandoned; another host takes the duties and reports. When the cut heals, the kernel
+    // sends the bytes of a connection that was merely closed, and an older fencing number arrives after a newer one.
     DutyScene scene;
     scene.add("host-1");
     scene.losesAnswers = true;
@@ -272,10 +272,10 @@
     CHECK(std::ranges::all_of(scene.api.peers, [](const std::shared_ptr<Peer> &peer) { return !peer->closed || peer->wasReset; }));
 }
 
-TEST_CASE("a report whose answer is lost comes again with the same counts, also from the next holder", "[usage][at-most-once]")
+TEST_CASE("a report whose answer is lost is repeated with the same counts, also by the next holder", "[usage][at-most-once]")
 {
-    // The API takes a report and its answer is lost; the holder can't know. Then the holder dies. Whoever sends that window again, and however
-    // often, sends the same numbers, though what was counted has grown meanwhile.
+    // The API accepts a report and its answer is lost; then the holder crashes. Every host that repeats this window must send the same numbers, although the
+    // counts have grown meanwhile.
     DutyScene scene;
     Host &first = scene.add("host-1");
     REQUIRE(scene.until([&] { return !scene.reports.empty(); }));
--- a/src/gateway/mirrorhistory_test.cpp
+++ b/src/gateway/mirrorhistory_test.cpp
@@ -1,4 +1,4 @@
-// Random histories of endpoints' entries, told to a follower by listings, watches and peers' batches in any order, against the truth.
+// Random histories of endpoints' entries, sent to a follower by listings, watches and peers' batches in any order, compared with the platform's state.
 
 #include "gateway/gatewayfakes_test.h"
 #include "platform/objectmirror.h"
@@ -18,7 +18,7 @@
 constexpr std::uint64_t objects = 4;
 constexpr std::uint64_t firstRevision = 10;
 
-/** What the platform knows: its changes in order, each with its true revision. */
+/** The platform's state: its changes in order, each with its true revision. */
 class Truth
 {
 public:
@@ -29,7 +29,7 @@
     };
     using State = std::map<std::string, std::uint64_t>;
 
-    /** Creates, changes or removes. */
+    /** Creates, changes or removes an object. */
     void change(std::uint64_t which, bool removes)
     {
         const std::string name = "e" + std::to_string(which);
@@ -136,13 +136,13 @@
     return batch;
 }
 
-/** A follower whose platform answers as of when it was asked, and later. */
+/** A follower whose platform answers late, with the state of the time of the request. */
 class Follower
 {
 public:
     explicit Follower(Truth &truth)
         : m_truth(truth)
-        , m_platform(m_io, [this](Peer &peer, const std::string &request) { asked(peer, request); })
+        , m_platform(m_io, [this](Peer &peer, const std::string &request) { onRequest(peer, request); })
     {
         PlatformOptions platform;
         platform.port = m_platform.port();
@@ -179,7 +179,7 @@
         m_io.restart();
         m_io.run_for(std::chrono::microseconds(300));
     }
-    /** What was asked first is answered. */
+    /** Answers the oldest open request. */
     void answerNext()
     {
         run();
@@ -194,7 +194,8 @@
     Truth::State state;
     int listings = 0;
     bool dropsHistory = false;
-    /** Since the last call. A batch that overlaps replays older states before the last ones, in one step: no request is placed meanwhile. */
+    /** Whether an entry has an older state than at the last call. An overlapping batch replays older states before the newest, but in one step, so no request
+     * is placed meanwhile. */
     bool hasGoneBack()
     {
         bool goesBack = false;
@@ -207,7 +208,7 @@
     }
 
 private:
-    void asked(Peer &peer, const std::string &request)
+    void onRequest(Peer &peer, const std::string &request)
     {
         if (request.starts_with("GET /list")) {
             m_answers.emplace_back(peer.shared_from_this(), answer(200, text(m_truth.revision(), m_truth.now())));
@@ -240,7 +241,7 @@
 
 TEST_CASE("whatever the order in which changes arrive, no entry returns to an older state and none is missed", "[endpoint-drain][config-monotonic]")
 {
-    // Guards against any path by which a host forgets or misses that an endpoint leaves: late listings, lost, repeated and overlapping batches.
+    // Guards against any path by which a host loses or misses the leaving of an endpoint: late listings, and lost, repeated and overlapping batches.
     rc::prop("random histories", [] {
         Truth truth;
         Follower follower(truth);
@@ -257,7 +258,7 @@
                 batches.push_back(truth.between(since, until));
                 break;
             }
-            case 3: // a batch arrives; others never do, or twice
+            case 3: // a batch arrives; others arrive never, or twice
                 if (!batches.empty()) {
                     static_cast<void>(follower.mirror->take(batches[*rc::gen::inRange<std::size_t>(0, batches.size())]));
                 }
@@ -265,7 +266,7 @@
             case 4:
                 static_cast<void>(follower.mirror->take(truth.between(firstRevision, truth.revision())));
                 break;
-            case 5: // a question; where the history is gone, a listing is under way
+            case 5: // a request; if the history is gone, a listing follows
                 follower.dropsHistory = *rc::gen::arbitrary<bool>();
                 follower.mirror->ask();
                 follower.answerNext();
