--- a/src/gateway/mirrorhistory_test.cpp
+++ b/src/gateway/mirrorhistory_test.cpp
@@ -194,8 +194,8 @@
     Truth::State state;
     int listings = 0;
     bool dropsHistory = false;
-    /** Whether an entry has an older state than at the last call. An overlapping batch replays older states before the newest, but in one step, so no request
-     * is placed meanwhile. */
+    // Whether an entry has an older state than at the last call. An overlapping batch replays older states before the newest one, but in one step, so no
+    // request is sent meanwhile.
     bool hasGoneBack()
     {
         bool goesBack = false;
@@ -258,7 +258,7 @@
                 batches.push_back(truth.between(since, until));
                 break;
             }
-            case 3: // a batch arrives; others arrive never, or twice
+            case 3: // a batch arrives; some never arrive, some twice
                 if (!batches.empty()) {
                     static_cast<void>(follower.mirror->take(batches[*rc::gen::inRange<std::size_t>(0, batches.size())]));
                 }
