--- a/src/daemon/statusreport.cpp
+++ b/src/daemon/statusreport.cpp
@@ -96,7 +96,7 @@
     boost::json::object preset{{"version", report.preset ? report.preset->version : 0},
                                {"name", report.preset ? report.preset->preset.name.text() : ""},
                                {"by", report.preset ? report.preset->by.text() : ""},
-                               {"alarms", report.alarms.wentBack + report.alarms.forked + report.alarms.unreadable}};
+                               {"alarms", report.alarms.regressed + report.alarms.forked + report.alarms.unreadable}};
     return boost::json::object{{"host", report.host.text()},
                                {"domain", report.domain.text()},
                                {"ready", report.ready},
@@ -104,7 +104,7 @@
                                {"uptime_s", toSeconds(report.uptime)},
                                {"preset", std::move(preset)},
                                {"platform", report.platformReached ? "reached" : "no answer"},
-                               {"hears_peers", report.hearsPeers},
+                               {"hears_peers", report.receivesFromPeers},
                                {"sees_majority", report.permits.seesMajority},
                                {"requests",
                                 boost::json::object{{"running", report.relay.running},
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -226,7 +226,7 @@
     return found != m_endpoints.end() && found->second.leaving;
 }
 
-bool Membership::hearsPeers(TimePoint now) const
+bool Membership::receivesFromPeers(TimePoint now) const
 {
     const bool alone = m_members.empty() && m_listed.empty();
     return alone || now - m_lastHeard < m_settings.deafGrace;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -122,7 +122,7 @@
     std::vector<EndpointFact> endpointFacts() const;
     bool endpointIsLeaving(const EndpointId &endpoint) const;
     /** False when hosts are known or listed but none was heard for `deafGrace`. */
-    bool hearsPeers(TimePoint now) const;
+    bool receivesFromPeers(TimePoint now) const;
     bool superseded() const
     {
         return m_superseded;
--- a/src/membership/membershipservice.cpp
+++ b/src/membership/membershipservice.cpp
@@ -319,9 +319,9 @@
 }
 
 template <Clock ClockType>
-bool MembershipService<ClockType>::hearsPeers() const
+bool MembershipService<ClockType>::receivesFromPeers() const
 {
-    return m_core->membership().hearsPeers(ClockType::now());
+    return m_core->membership().receivesFromPeers(ClockType::now());
 }
 
 template <Clock ClockType>
--- a/src/preset/presetfleet_test.cpp
+++ b/src/preset/presetfleet_test.cpp
@@ -196,7 +196,7 @@
         for (Host &host : m_hosts) {
             const std::size_t other = m_random.below(m_hosts.size());
             if (linked(host.index, other) && !lost()) {
-                host.spread.heard(peerName(other), m_hosts[other].holder.version(), m_now);
+                host.spread.onPeerVersion(peerName(other), m_hosts[other].holder.version(), m_now);
             }
         }
     }
@@ -291,7 +291,7 @@
     void announce(const Host &host, std::size_t peer)
     {
         if (linked(host.index, peer) && !lost()) {
-            later(peer, [this, from = host.index, version = host.holder.version()](Host &self) { self.spread.heard(peerName(from), version, m_now); });
+            later(peer, [this, from = host.index, version = host.holder.version()](Host &self) { self.spread.onPeerVersion(peerName(from), version, m_now); });
         }
     }
 
--- a/src/preset/presetservice_test.cpp
+++ b/src/preset/presetservice_test.cpp
@@ -274,7 +274,7 @@
     bench.switchAt(service, "peak", "bo");
     bench.api.store.overwrite(presetInForceKey, old);
     bench.pass(16s); // one poll at least
-    CHECK(service->alarms().wentBack > 0);
+    CHECK(service->alarms().regressed > 0);
     CHECK(service->current()->version == 2);
     bench.api.store.overwrite(presetInForceKey, "{");
     bench.pass(16s);
--- a/src/preset/presetspread.cpp
+++ b/src/preset/presetspread.cpp
@@ -51,7 +51,7 @@
     }
 }
 
-void PresetSpread::heard(const HostId &host, PresetVersion version, TimePoint now)
+void PresetSpread::onPeerVersion(const HostId &host, PresetVersion version, TimePoint now)
 {
     if (host == m_self) {
         return;
@@ -134,7 +134,7 @@
 
 void PresetSpread::onPeerAnswer(const HostId &host, PresetVersion itsVersion, TimePoint now)
 {
-    heard(host, itsVersion, now);
+    onPeerVersion(host, itsVersion, now);
     if (m_asked != host) {
         return;
     }
--- a/src/preset/presetspread.h
+++ b/src/preset/presetspread.h
@@ -82,7 +82,7 @@
     /** The live hosts, this one included. */
     void setHosts(const HostId &self, std::span<const PresetPeer> live, TimePoint now);
     /** A peer holds this version, as itself or membership tells. Any word of a peer counts as contact. */
-    void heard(const HostId &host, PresetVersion version, TimePoint now);
+    void onPeerVersion(const HostId &host, PresetVersion version, TimePoint now);
     /** This host now holds this version. */
     void adopted(PresetVersion version, TimePoint now);
     /** A read ended. @param revision the object's version; nothing when the platform did not answer */
--- a/src/preset/presetspread_test.cpp
+++ b/src/preset/presetspread_test.cpp
@@ -63,7 +63,7 @@
     CHECK(holder.offerFromPlatform(version(3), 0) == PresetOffer::Adopted);
     CHECK(holder.offerFromPeer(version(2)) == PresetOffer::Older);
     CHECK(holder.offerFromPlatform(version(2), 2) == PresetOffer::Older); // asked before version 3 came from a peer
-    CHECK(holder.offerFromPlatform(version(2), 3) == PresetOffer::WentBack);
+    CHECK(holder.offerFromPlatform(version(2), 3) == PresetOffer::Regressed);
     CHECK(holder.offerFromPlatform(version(3), 3) == PresetOffer::Known);
     CHECK(holder.offerFromPeer(version(3, "other")) == PresetOffer::Forked);
     CHECK(holder.version() == 3);
@@ -104,7 +104,7 @@
 {
     PresetSpread spread({}, 1, start);
     spread.setHosts(hostName(0), fleet(9), start);
-    spread.heard(hostName(1), 5, start);
+    spread.onPeerVersion(hostName(1), 5, start);
     spread.adopted(4, start);
     spread.advance(start);
     CHECK_FALSE(spread.isReady(start));
@@ -114,7 +114,7 @@
 TEST_CASE("a host that hears of a newer version asks that peer, then the platform")
 {
     PresetSpread spread = settledHost();
-    spread.heard(hostName(3), 2, start + 100ms);
+    spread.onPeerVersion(hostName(3), 2, start + 100ms);
     const SpreadActions actions = spread.advance(start + 100ms);
     REQUIRE(has(actions, SpreadAction::Kind::AskPeer));
     CHECK(std::ranges::find(actions, SpreadAction::Kind::AskPeer, &SpreadAction::kind)->peer == hostName(3));
@@ -193,7 +193,7 @@
     const Duration limit = PresetSpreadOptions().isolationLimit;
     CHECK(spread.isReady(start + limit));
     CHECK_FALSE(spread.isReady(start + limit + 1ms));
-    spread.heard(hostName(4), 1, start + limit + 1s);
+    spread.onPeerVersion(hostName(4), 1, start + limit + 1s);
     CHECK(spread.isReady(start + limit + 1s));
 }
 
