--- a/src/membership/fakefleet_test.h
+++ b/src/membership/fakefleet_test.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Many membership cores on virtual time with a lossy network between them; test support only.
+// Test support: many Membership instances on virtual time, connected by a lossy network.
 
 #include "membership/membership.h"
 
@@ -15,18 +15,18 @@
 
 inline constexpr std::string_view secret = "fleet";
 inline constexpr Duration step = 10ms;
-/** What UDP and IP add to a datagram on the wire. */
+/** Bytes of the UDP and IP headers of a datagram. */
 inline constexpr std::size_t udpOverhead = 28;
 
 struct Node
 {
     Membership core;
     Member self;
-    std::size_t place = 0; ///< address and failure domain; a replacement takes the place over
+    std::size_t slot = 0; ///< index that determines address and failure domain; a replacement process reuses it
     bool running = true;
     bool frozen = false;
     TimePoint nextTick;
-    std::vector<MembershipMessage> unread; ///< what the socket holds while the process is frozen
+    std::vector<MembershipMessage> unread; ///< what the socket buffers while the process is frozen
     std::size_t bytesOut = 0;
     std::size_t bytesIn = 0;
     std::vector<Member> changes;
@@ -36,7 +36,7 @@
 {
     TimePoint due;
     std::uint64_t order = 0;
-    std::size_t toPlace = 0;
+    std::size_t toSlot = 0;
     std::vector<std::byte> bytes;
     friend bool operator<(const InFlight &left, const InFlight &right)
     {
@@ -50,19 +50,19 @@
     Fleet(std::size_t hosts, std::uint64_t seed)
         : m_random(seed)
     {
-        for (std::size_t place = 0; place < hosts; ++place) {
-            add(place, "host-" + std::to_string(place));
+        for (std::size_t slot = 0; slot < hosts; ++slot) {
+            add(slot, "host-" + std::to_string(slot));
         }
         listAll();
     }
 
-    /** Starts a process; the host list is told by listAll(). */
-    Node &add(std::size_t place, const std::string &name)
+    /** Starts a process; listAll() updates the host lists. */
+    Node &add(std::size_t slot, const std::string &name)
     {
-        Node node{Membership(MembershipSettings(), m_random.engine()()), {}, place, true, false, now, {}, 0, 0, {}};
+        Node node{Membership(MembershipSettings(), m_random.engine()()), {}, slot, true, false, now, {}, 0, 0, {}};
         node.self.host = HostId(name);
-        node.self.address = addressOf(place);
-        node.self.domain = FailureDomain("domain-" + std::to_string(place % 3));
+        node.self.address = addressOf(slot);
+        node.self.domain = FailureDomain("domain-" + std::to_string(slot % 3));
         node.self.incarnation.start = static_cast<std::uint64_t>(toMicroseconds(now.time_since_epoch()) / 1000) + 1;
         node.nextTick = now + step * static_cast<Duration::rep>(m_random.below(10));
         nodes.push_back(std::make_unique<Node>(std::move(node)));
@@ -142,9 +142,9 @@
             nodes.begin(), nodes.end(), [&](const std::unique_ptr<Node> &node) { return !node->running || node->core.aliveHosts() == expected; });
     }
 
-    static PeerAddress addressOf(std::size_t place)
+    static PeerAddress addressOf(std::size_t slot)
     {
-        return {"10.0." + std::to_string(place / 250) + "." + std::to_string(place % 250 + 1), 4000};
+        return {"10.0." + std::to_string(slot / 250) + "." + std::to_string(slot % 250 + 1), 4000};
     }
 
     void carryOut(Node &node, const MembershipActions &actions)
@@ -164,7 +164,7 @@
     std::vector<SeedHost> list;
     double loss = 0;
     Duration maxDelay = 20ms;
-    /** True when nothing passes from the first place to the second. */
+    /** True when no datagram passes from the first slot to the second. */
     std::function<bool(std::size_t from, std::size_t to)> cut = [](std::size_t, std::size_t) { return false; };
     std::vector<std::vector<std::byte>> *recorded = nullptr;
 
@@ -176,12 +176,12 @@
         if (recorded != nullptr) {
             recorded->push_back(bytes);
         }
-        const std::optional<std::size_t> place = placeOf(datagram.to);
-        if (!place || cut(node.place, *place) || m_random.uniform() < loss) {
+        const std::optional<std::size_t> slot = slotOf(datagram.to);
+        if (!slot || cut(node.slot, *slot) || m_random.uniform() < loss) {
             return;
         }
         const Duration delay = 1ms + fromSeconds(m_random.uniform() * toSeconds(maxDelay));
-        m_inFlight.push({now + delay, m_order++, *place, std::move(bytes)});
+        m_inFlight.push({now + delay, m_order++, *slot, std::move(bytes)});
     }
 
     void deliverDue()
@@ -191,7 +191,7 @@
             const InFlight arrived = m_inFlight.top();
             m_inFlight.pop();
             for (const std::unique_ptr<Node> &node : nodes) {
-                if (!node->running || node->place != arrived.toPlace) {
+                if (!node->running || node->slot != arrived.toSlot) {
                     continue;
                 }
                 node->bytesIn += arrived.bytes.size() + udpOverhead;
@@ -205,11 +205,11 @@
         }
     }
 
-    std::optional<std::size_t> placeOf(const PeerAddress &address) const
+    std::optional<std::size_t> slotOf(const PeerAddress &address) const
     {
         for (const std::unique_ptr<Node> &node : nodes) {
             if (node->self.address == address) {
-                return node->place;
+                return node->slot;
             }
         }
         return std::nullopt;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,17 +1,17 @@
-// SWIM (Das, Gupta and Motivala, 2002): probe one host a period in a shuffled round, ask others to probe before
-// suspecting, suspect before declaring dead, refute by incarnation numbers, and let news ride on the probes.
-// Preferred to all-to-all heartbeats (cost grows with the square of the hosts) and to heartbeats through the
-// platform (its call rates grow more slowly than the fleet, and it has outages).
+// Implements SWIM (Das, Gupta and Motivala, 2002): probe one host per period in a shuffled round, request other hosts to probe before
+// suspecting, suspect before declaring dead, refute by incarnation numbers, and piggyback updates on the probes. The alternatives are
+// all-to-all heartbeats, whose cost grows with the square of the hosts, and heartbeats through the platform, whose allowed call rate grows
+// more slowly than the fleet and which has outages.
 //
-// Beyond the paper, each for a failure that our hosts meet:
-//  - from Lifeguard (Dadgar, Phillips and Currey, 2017): a suspect is told of its suspicion by every datagram
-//    it is sent, and a host that was itself stalled or hears nobody withholds accusations
-//  - dead and listed-but-unheard hosts are probed now and then, so the halves of a healed partition meet
-//  - views are compared by digest with a random host, so that a telling that was lost for good is repaired
-//  - news is also gossiped between probes, since a preset must be in force everywhere within seconds
-
+// Additions to the paper, each for a failure that occurs here:
+//  - from Lifeguard (Dadgar, Phillips and Currey, 2017): every datagram to a suspect host reports the suspicion to it, and a host that was
+//    itself stalled or receives nothing declares no other host suspect or dead
+//  - dead hosts, and listed hosts that were never received from, are probed periodically, so that the halves of a healed partition reconnect
+//  - views are compared by digest with a random host, which repairs updates that were lost on every path
+//  - updates are also gossiped between probes, since a preset must be in force everywhere within seconds
 //
-// This file holds the events and the views; hearing, probing and spreading have files of their own.
+// This file holds the events and the queries. Receiving, probing and spreading are in membershiphearing.cpp, membershipprobing.cpp and
+// membershipspreading.cpp.
 
 #include "membership/membership.h"
 
@@ -42,10 +42,10 @@
     m_started = true;
     m_startedAt = now;
     m_lastTick = now;
-    m_lastHeard = now;
+    m_lastReceived = now;
     m_nextPeriod = now + fromSeconds(m_random.uniform() * toSeconds(m_settings.period));
     m_nextSync = now + fromSeconds(m_random.uniform() * toSeconds(m_settings.syncInterval));
-    m_memberNews[m_self.host] = News();
+    m_pendingMembers[m_self.host] = PendingUpdate();
     return hostList(now, seeds);
 }
 
@@ -62,7 +62,7 @@
         m_listed.insert_or_assign(listed.host, listed);
         const auto found = m_members.find(listed.host);
         if (found != m_members.end()) {
-            // Held apart from the host's own telling: the list lags, and may still show a former life as leaving.
+            // Stored apart from what the host reports itself: the list lags and may still show a former process of the host as leaving.
             found->second.listedLeaving = listed.leaving;
         }
     }
@@ -77,26 +77,26 @@
     if (!active() || message.sender.host == m_self.host) {
         return {};
     }
-    if (now - m_lastHeard > stallPeriods * m_settings.period) {
-        restartSuspicions(now); // Refutations could not arrive meanwhile, so that time does not count.
+    if (now - m_lastReceived > stallPeriods * m_settings.period) {
+        restartSuspicions(now); // Refutations could not arrive during the silence, so it does not count as suspicion time.
     }
-    m_lastHeard = now;
-    hearMember(now, message.sender);
+    m_lastReceived = now;
+    applyUpdate(now, message.sender);
     const auto sender = m_members.find(message.sender.host);
-    // A host that was cut off took everybody else for dead meanwhile. Until it has refuted its own death, what it
-    // says against others is news of the cut, and would make every live host refute. What it holds of this host
-    // counts: only a refutation lets it see this host again.
-    const bool heldDead = sender != m_members.end() && sender->second.member.state == MemberState::Dead;
-    for (const Member &telling : message.members) {
-        if (!heldDead || telling.state == MemberState::Alive || telling.host == m_self.host) {
-            hearMember(now, telling);
+    // A host that was cut off considers all others dead. Until it has refuted its own death, its reports of suspect and dead hosts only
+    // reflect the cut, and accepting them would make every live host refute. Its report about this host is accepted: only a refutation
+    // makes this host alive again in the sender's view.
+    const bool senderIsDead = sender != m_members.end() && sender->second.member.state == MemberState::Dead;
+    for (const Member &update : message.members) {
+        if (!senderIsDead || update.state == MemberState::Alive || update.host == m_self.host) {
+            applyUpdate(now, update);
         }
     }
     for (const EndpointFact &fact : message.endpoints) {
-        hearEndpoint(fact);
+        mergeEndpoint(fact);
     }
-    for (const VersionTelling &telling : message.versions) {
-        hearVersion(now, telling);
+    for (const VersionUpdate &update : message.versions) {
+        applyVersionUpdate(now, update);
     }
     if (active()) {
         answer(now, message);
@@ -109,10 +109,10 @@
     if (!active()) {
         return {};
     }
-    noteStall(now);
+    detectStall(now);
     finishProbe(now);
     if (now >= m_nextDeadline) {
-        passDeadlines(now);
+        processDeadlines(now);
     }
     if (now >= m_nextPeriod) {
         m_nextPeriod = now + m_settings.period;
@@ -131,13 +131,13 @@
 MembershipActions Membership::leave(TimePoint now)
 {
     m_self.leaving = true;
-    m_memberNews[m_self.host] = News();
+    m_pendingMembers[m_self.host] = PendingUpdate();
     m_nextGossip = now;
     gossip(now);
     return takeActions();
 }
 
-MembershipActions Membership::farewell(TimePoint now)
+MembershipActions Membership::announceShutdown(TimePoint now)
 {
     if (!active()) {
         return {};
@@ -159,7 +159,7 @@
 {
     if (version > m_self.presetVersion) {
         m_self.presetVersion = version;
-        m_memberNews[m_self.host] = News();
+        m_pendingMembers[m_self.host] = PendingUpdate();
         gossip(now);
     }
     return takeActions();
@@ -167,19 +167,19 @@
 
 MembershipActions Membership::endpointLeaving(TimePoint now, const EndpointId &endpoint, std::uint64_t version)
 {
-    hearEndpoint({endpoint, version, true});
+    mergeEndpoint({endpoint, version, true});
     gossip(now);
     return takeActions();
 }
 
 MembershipActions Membership::endpointReturned(TimePoint now, const EndpointId &endpoint, std::uint64_t version)
 {
-    hearEndpoint({endpoint, version, false});
+    mergeEndpoint({endpoint, version, false});
     gossip(now);
     return takeActions();
 }
 
-// Views.
+// Queries.
 
 std::vector<Member> Membership::members() const
 {
@@ -229,19 +229,19 @@
 bool Membership::receivesFromPeers(TimePoint now) const
 {
     const bool alone = m_members.empty() && m_listed.empty();
-    return alone || now - m_lastHeard < m_settings.deafGrace;
+    return alone || now - m_lastReceived < m_settings.isolationGrace;
 }
 
 Duration Membership::detectionBound(std::size_t hosts) const
 {
     const std::size_t others = hosts > 1 ? hosts - 1 : 1;
-    const std::size_t periods = 2 * others + 1 + m_settings.suspicionPeriods + log2Ceil(hosts);
-    // Ticks quantize each period, and a host that hears nobody waits out its grace first.
+    const std::size_t periods = 2 * others + 1 + m_settings.suspicionPeriods + bitWidth(hosts);
+    // Ticks quantize each period. With two hosts the survivor receives nothing, so it waits for isolationGrace first.
     const Duration probing = (m_settings.period + m_settings.tickInterval) * static_cast<Duration::rep>(periods);
-    return hosts <= 2 ? probing + m_settings.deafGrace : probing;
+    return hosts <= 2 ? probing + m_settings.isolationGrace : probing;
 }
 
-std::size_t Membership::log2Ceil(std::size_t count)
+std::size_t Membership::bitWidth(std::size_t count)
 {
     return static_cast<std::size_t>(std::bit_width(count));
 }
--- a/src/membership/membership_test.cpp
+++ b/src/membership/membership_test.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** Enough for hosts to meet through the list, refute and repair by digest. */
+/** Enough for hosts to find each other through the host list, refute and repair their views by digest. */
 constexpr Duration settleTime = 60s;
 
 bool everDead(const Node &node, const HostId &host)
@@ -27,18 +27,18 @@
     REQUIRE(fleet.runUntil([&] { return fleet.everyViewIs(fleet.running()); }, settleTime) < settleTime);
 }
 
-/** Ends the process at the place and starts another there: under its name or a new one. */
-void replace(Fleet &fleet, std::size_t place, bool sameName)
+/** Ends the process at the slot and starts another there, under the same name or a new one. */
+void replace(Fleet &fleet, std::size_t slot, bool sameName)
 {
     const auto former =
-        std::find_if(fleet.nodes.begin(), fleet.nodes.end(), [&](const std::unique_ptr<Node> &node) { return node->running && node->place == place; });
+        std::find_if(fleet.nodes.begin(), fleet.nodes.end(), [&](const std::unique_ptr<Node> &node) { return node->running && node->slot == slot; });
     Node &node = **former;
     node.running = false;
     const std::string name = node.self.host.text();
-    fleet.add(place, sameName ? name : name + "+");
+    fleet.add(slot, sameName ? name : name + "+");
 }
 
-/** Every change of every view, not only what a look now and then would catch. */
+/** Examines every recorded change of every view, so that no state between two checks is missed. */
 bool leavingNeverReverted(const Fleet &fleet)
 {
     for (const std::unique_ptr<Node> &node : fleet.nodes) {
@@ -56,7 +56,7 @@
 
 void randomFault(Fleet &fleet, std::size_t hosts)
 {
-    const std::size_t place = *rc::gen::inRange<std::size_t>(0, hosts);
+    const std::size_t slot = *rc::gen::inRange<std::size_t>(0, hosts);
     const std::size_t other = *rc::gen::inRange<std::size_t>(0, hosts);
     Node &node = *fleet.nodes[*rc::gen::inRange<std::size_t>(0, fleet.nodes.size())];
     switch (*rc::gen::inRange(0, 8)) {
@@ -72,13 +72,13 @@
         }
         return;
     case 3:
-        fleet.cut = [place, other](std::size_t from, std::size_t to) { return from == place && (to == other || other % 2 == 0); };
+        fleet.cut = [slot, other](std::size_t from, std::size_t to) { return from == slot && (to == other || other % 2 == 0); };
         return;
     case 4:
-        fleet.cut = [place](std::size_t from, std::size_t to) { return (from % 3 == place % 3) != (to % 3 == place % 3); };
+        fleet.cut = [slot](std::size_t from, std::size_t to) { return (from % 3 == slot % 3) != (to % 3 == slot % 3); };
         return;
     case 5:
-        replace(fleet, place, *rc::gen::arbitrary<bool>());
+        replace(fleet, slot, *rc::gen::arbitrary<bool>());
         return;
     case 6:
         if (node.running && !node.frozen) {
@@ -128,9 +128,9 @@
 
 } // namespace
 
-// Callers see duties flap or vanish for good if views do not come together again: hosts are frozen and woken,
-// cut off one way or with their whole domain, replaced under old or new names, datagrams are lost, hosts and
-// endpoints leave, in any order. Once it stops, every host must hold the same, true view.
+// If views do not converge after faults, duties flap or stay without an owner. Hosts are frozen and resumed, cut off in one direction or with
+// their whole domain, replaced under old or new names; datagrams are lost; hosts and endpoints leave; all in any order. Once the faults stop,
+// every host must hold the same, correct view.
 TEST_CASE("views converge to the truth after any faults, and leaving never reverts", "[endpoint-drain][graceful-shutdown]")
 {
     rc::prop("every live host sees every live host as that host tells itself", [] {
@@ -175,7 +175,7 @@
     });
 }
 
-TEST_CASE("ten datagrams lost of a hundred kill nobody")
+TEST_CASE("a loss of ten percent of the datagrams causes no false death")
 {
     Fleet fleet(12, 1);
     fleet.loss = 0.1;
@@ -186,10 +186,10 @@
     }
 }
 
-// Callers of every host would see duties move: a host whose incoming packets are lost still sends, finds all its
-// peers silent, and tells everybody that everybody is dead. It can't tell their silence from its own deafness, so
-// it says nothing until its peers have found it dead and no longer listen to its accusations.
-TEST_CASE("a host that hears nobody kills nobody but itself")
+// A host that loses all incoming packets but can still send finds all its peers silent. If it reported them dead, duties would move on every
+// host. It cannot distinguish their silence from its own failure to receive, so it reports nothing until its peers consider it dead and
+// ignore its reports.
+TEST_CASE("a host that receives nothing causes no death but its own")
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Fleet fleet(9, seed);
@@ -207,10 +207,10 @@
     }
 }
 
-// Callers of every host would see duties flap: a host cut off for some seconds takes its peers for dead one by one,
-// and on its return spreads that news, each telling of which kills a live host for as long as its refutation takes.
-// Its peers hold it dead and listen to none of it; once it has refuted, it has dropped what it would have said.
-TEST_CASE("a host that was cut off for a while kills nobody on its return")
+// A host that is cut off for some seconds declares its peers dead one by one. If it spread these deaths on its return, each would last until
+// the live host has refuted it, and duties would flap. Its peers consider it dead and ignore these reports; when it refutes its own death, it
+// discards the deaths that it has not sent yet.
+TEST_CASE("a host that was cut off for a while causes no false death on its return")
 {
     for (int seed = 1; seed <= 100; ++seed) {
         Fleet fleet(9, static_cast<std::uint64_t>(seed));
@@ -231,10 +231,9 @@
     }
 }
 
-// The woken host's callers would see its duties jump: while it was frozen every deadline ran out, so on waking it
-// would hold all peers dead at once and serve every duty itself. It has to let its peers answer first. They hold
-// it dead by then; it learns so from them and refutes.
-TEST_CASE("a host frozen and woken refutes its own death and accuses nobody")
+// While a host is frozen, every deadline passes. If it evaluated them when it resumes, it would declare all peers dead at once and serve every
+// duty itself. It must let its peers answer first. They consider it dead by then; it learns this from them and refutes.
+TEST_CASE("a host that was frozen and resumes refutes its own death and declares no other host dead")
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         Fleet fleet(9, seed);
@@ -245,7 +244,7 @@
         fleet.cut = [](std::size_t, std::size_t) { return false; };
         frozen.frozen = true;
         fleet.run(40s);
-        frozen.unread.clear(); // The socket's buffer kept older datagrams than the refutation.
+        frozen.unread.clear(); // The socket's buffer held only datagrams older than the refutation.
         fleet.wake(frozen);
         const Duration bound = 10s;
         CHECK(fleet.runUntil([&] { return fleet.everyViewIs(fleet.running()); }, bound) < bound);
@@ -256,8 +255,8 @@
     }
 }
 
-// Callers at two halves of a healed network would be served as if there were two fleets: each half holds the other
-// dead and probes only the living, so no datagram would ever cross again.
+// If each half of a partition considered the other dead and probed only live hosts, no datagram would cross after the partition has healed, and
+// both halves would serve callers as two separate fleets.
 TEST_CASE("two halves of a healed partition find each other")
 {
     Fleet fleet(9, 3);
@@ -276,16 +275,16 @@
     const bool sameName = GENERATE(true, false);
     Fleet fleet(12, 5);
     converge(fleet);
-    for (std::size_t place = 0; place < 6; ++place) {
-        replace(fleet, place, sameName);
+    for (std::size_t slot = 0; slot < 6; ++slot) {
+        replace(fleet, slot, sameName);
     }
     const Duration bound = fleet.nodes[0]->core.detectionBound(12) + 6s;
     CHECK(fleet.runUntil([&] { return fleet.everyViewIs(fleet.running()); }, bound) < bound);
 }
 
-// Two processes under one name would refute each other for ever: one was frozen, was replaced under its name, and
-// woke. The greater start wins; the older process is told to stop. A young process that meets a greater start has
-// merely a slow clock, and takes a greater one.
+// A process that was frozen, was replaced under its name, and resumes would refute its successor forever, and be refuted by it. The greater
+// start wins, and the older process is reported as superseded. A young process that receives a greater start only has a clock that is behind,
+// and adopts a greater start.
 TEST_CASE("of two processes under one name the one that started later stays")
 {
     Fleet fleet(5, 7);
@@ -336,8 +335,8 @@
     }
 }
 
-// A caller's request would be sent to an endpoint that is going away: one host has seen it leave, the others still
-// grant permits for it. The fact must reach all within two seconds, and only a greater version may undo it.
+// When only one host knows that an endpoint is leaving, the others still grant permits for it, and requests are sent to an endpoint that is
+// about to be removed. The fact must reach all hosts within two seconds, and only a greater version may revert it.
 TEST_CASE("an endpoint known as leaving by one host is known so by all", "[endpoint-drain]")
 {
     const EndpointId endpoint("engine-7");
@@ -360,7 +359,7 @@
     CHECK(fleet.runUntil(allHold(false), 2s) < 2s);
 }
 
-TEST_CASE("a host that leaves gives its duties up at once and the last of a fleet keeps them", "[graceful-shutdown]")
+TEST_CASE("a leaving host gives up its duties at once, and the last host of a fleet keeps them", "[graceful-shutdown]")
 {
     Fleet fleet(3, 13);
     converge(fleet);
@@ -374,7 +373,7 @@
         CHECK(node.core.aliveHosts() == expected);
         CHECK(fleet.runUntil([&] { return fleet.everyViewIs(expected); }, 2s) < 2s);
     }
-    fleet.carryOut(*fleet.nodes[0], fleet.nodes[0]->core.farewell(fleet.now));
+    fleet.carryOut(*fleet.nodes[0], fleet.nodes[0]->core.announceShutdown(fleet.now));
     fleet.nodes[0]->running = false;
     CHECK(fleet.runUntil([&] { return fleet.everyViewIs(fleet.running()); }, 1s) < 1s);
 }
@@ -420,7 +419,7 @@
 TEST_CASE("tellings about a host combine to the same in any order")
 {
     rc::prop("commutative, associative, idempotent", [] {
-        const auto arbitraryTelling = [] {
+        const auto arbitraryUpdate = [] {
             Member member;
             member.host = HostId("host");
             member.incarnation = {*rc::gen::inRange<std::uint64_t>(0, 3), *rc::gen::inRange<std::uint32_t>(0, 3)};
@@ -429,9 +428,9 @@
             member.presetVersion = *rc::gen::inRange<std::uint64_t>(0, 3);
             return member;
         };
-        const Member a = arbitraryTelling();
-        const Member b = arbitraryTelling();
-        const Member c = arbitraryTelling();
+        const Member a = arbitraryUpdate();
+        const Member b = arbitraryUpdate();
+        const Member c = arbitraryUpdate();
         RC_ASSERT(joined(a, a) == a);
         const bool sameStart = a.incarnation.start == b.incarnation.start;
         RC_ASSERT((!sameStart || joined(a, b) == joined(b, a)));
--- a/src/membership/membershiphearing.cpp
+++ b/src/membership/membershiphearing.cpp
@@ -1,5 +1,5 @@
-// What a datagram changes: tellings are joined into the table (member.h), and whatever changed becomes news to
-// pass on and an action; then pings, ping requests and comparisons of views are answered.
+// Handling of received datagrams. Updates are joined into the table (member.h); each change becomes an update to forward and an action. Then
+// pings, ping requests and sync requests are answered.
 
 #include "membership/membership.h"
 
@@ -12,107 +12,107 @@
 namespace
 {
 
-// Probes made for others at one time; more are dropped, and the asker has two other hosts to ask.
+// Concurrent probes on behalf of other hosts. Further requests are dropped; the requester also sends them to two other hosts.
 constexpr std::size_t maxRelays = 256;
-// Answers with the whole view, at most one each.
+// Minimum time between two answers with the whole view.
 constexpr Duration syncAnswerInterval = 1s;
-// A process this young that meets a greater start under its own name has a clock behind its predecessor's.
-constexpr Duration adoptStartWithin = 30s;
+// A process that is younger than this and receives a greater start under its own name has a clock behind that of its predecessor.
+constexpr Duration startAdoptionWindow = 30s;
 
-bool sameFor(const Member &left, const Member &right)
+bool equalForHandlers(const Member &left, const Member &right)
 {
     return left.state == right.state && left.leaving == right.leaving && left.address == right.address && left.incarnation.start == right.incarnation.start;
 }
 
 } // namespace
 
-void Membership::hearMember(TimePoint now, const Member &telling)
+void Membership::applyUpdate(TimePoint now, const Member &update)
 {
-    if (telling.host == m_self.host) {
-        hearAboutSelf(now, telling);
+    if (update.host == m_self.host) {
+        applyUpdateAboutSelf(now, update);
     } else {
-        learn(now, telling);
+        mergeMember(now, update);
     }
 }
 
-void Membership::hearAboutSelf(TimePoint now, const Member &telling)
+void Membership::applyUpdateAboutSelf(TimePoint now, const Member &update)
 {
-    if (telling.incarnation.start > m_self.incarnation.start) {
-        if (now - m_startedAt < adoptStartWithin) {
-            m_self.incarnation = {telling.incarnation.start + 1, 0};
-            m_memberNews[m_self.host] = News();
+    if (update.incarnation.start > m_self.incarnation.start) {
+        if (now - m_startedAt < startAdoptionWindow) {
+            m_self.incarnation = {update.incarnation.start + 1, 0};
+            m_pendingMembers[m_self.host] = PendingUpdate();
             return;
         }
-        // This process was frozen, was replaced under its name, and woke. Its successor holds the name now; two
-        // hosts that refute each other under one name would flap for ever.
+        // This process was frozen, was replaced under its name, and resumed. The name belongs to its successor: two processes that refute
+        // each other under one name would flap forever.
         m_superseded = true;
         m_actions.emplace_back(Superseded());
         return;
     }
-    const bool sameLife = telling.incarnation.start == m_self.incarnation.start;
-    if (sameLife && telling.state != MemberState::Alive && telling.incarnation.refutations >= m_self.incarnation.refutations) {
-        m_self.incarnation.refutations = telling.incarnation.refutations + 1;
-        if (telling.state == MemberState::Dead) {
-            // The others heard nothing of this host, so what it made of their silence is worth nothing. Told now,
-            // each death would last until the host has refuted it. A mere suspicion is told anew, with time to refute it,
-            // since the others ignored it so far; kept back it would ripen to a death here.
-            withdrawDeaths();
+    const bool sameProcess = update.incarnation.start == m_self.incarnation.start;
+    if (sameProcess && update.state != MemberState::Alive && update.incarnation.refutations >= m_self.incarnation.refutations) {
+        m_self.incarnation.refutations = update.incarnation.refutations + 1;
+        if (update.state == MemberState::Dead) {
+            // The others received nothing from this host, so the deaths that it concluded from their silence are unreliable. If sent
+            // now, each death would last until that host has refuted it. Suspicions are sent again with a new suspicion time, since the
+            // others have ignored them so far; unsent, they would turn into deaths here.
+            discardPendingDeaths();
             restartSuspicions(now);
         }
-        m_memberNews[m_self.host] = News();
+        m_pendingMembers[m_self.host] = PendingUpdate();
     }
 }
 
-void Membership::learn(TimePoint now, const Member &telling)
+void Membership::mergeMember(TimePoint now, const Member &update)
 {
-    const auto found = m_members.find(telling.host);
+    const auto found = m_members.find(update.host);
     if (found == m_members.end()) {
-        makeRoom();
+        evictIfFull();
         Known known;
-        known.member = telling;
-        const auto listed = m_listed.find(telling.host);
+        known.member = update;
+        const auto listed = m_listed.find(update.host);
         known.listedLeaving = listed != m_listed.end() && listed->second.leaving;
-        Known &added = m_members.emplace(telling.host, known).first->second;
+        Known &added = m_members.emplace(update.host, known).first->second;
         setState(now, added);
-        m_lives[lifeKey(telling)] = telling.host;
-        m_memberNews[telling.host] = News();
-        m_actions.emplace_back(MemberChanged{telling});
-        notePresetVersion(telling);
+        m_hostsByIncarnation[lifeKey(update)] = update.host;
+        m_pendingMembers[update.host] = PendingUpdate();
+        m_actions.emplace_back(MemberChanged{update});
+        reportPresetVersion(update);
         return;
     }
     Known &known = found->second;
     const Member before = known.member;
-    known.member = joined(before, telling);
-    notePresetVersion(known.member);
+    known.member = joined(before, update);
+    reportPresetVersion(known.member);
     if (known.member == before) {
         return;
     }
     Member atOldVersion = known.member;
     atOldVersion.presetVersion = before.presetVersion;
-    const auto pending = m_memberNews.find(telling.host);
-    const bool wholePending = pending != m_memberNews.end() && !pending->second.versionOnly;
-    m_memberNews[telling.host] = News{0, atOldVersion == before && !wholePending};
+    const auto pending = m_pendingMembers.find(update.host);
+    const bool wholePending = pending != m_pendingMembers.end() && !pending->second.versionOnly;
+    m_pendingMembers[update.host] = PendingUpdate{0, atOldVersion == before && !wholePending};
     if (known.member.incarnation.start != before.incarnation.start) {
-        m_lives.erase(lifeKey(before));
-        m_lives[lifeKey(known.member)] = telling.host;
+        m_hostsByIncarnation.erase(lifeKey(before));
+        m_hostsByIncarnation[lifeKey(known.member)] = update.host;
     }
     if (known.member.state != before.state || known.member.incarnation != before.incarnation) {
         setState(now, known);
     }
-    if (!sameFor(known.member, before)) {
+    if (!equalForHandlers(known.member, before)) {
         m_actions.emplace_back(MemberChanged{known.member});
     }
 }
 
-void Membership::hearVersion(TimePoint now, const VersionTelling &telling)
+void Membership::applyVersionUpdate(TimePoint now, const VersionUpdate &update)
 {
-    const auto life = m_lives.find(telling.life);
-    if (life == m_lives.end()) {
-        return; // Of this host itself, or of one not known yet: its own datagrams carry the version too.
+    const auto entry = m_hostsByIncarnation.find(update.key);
+    if (entry == m_hostsByIncarnation.end()) {
+        return; // About this host, or about one that is not known yet; that host's own datagrams carry its version too.
     }
-    Member member = m_members.at(life->second).member;
-    member.presetVersion = telling.version;
-    learn(now, member);
+    Member member = m_members.at(entry->second).member;
+    member.presetVersion = update.version;
+    mergeMember(now, member);
 }
 
 void Membership::setState(TimePoint now, Known &known)
@@ -128,7 +128,7 @@
     m_liveCount.reset();
 }
 
-void Membership::hearEndpoint(const EndpointFact &fact)
+void Membership::mergeEndpoint(const EndpointFact &fact)
 {
     const auto found = m_endpoints.find(fact.endpoint);
     if (found != m_endpoints.end()) {
@@ -139,35 +139,35 @@
     } else {
         m_endpoints.emplace(fact.endpoint, fact);
         if (m_endpoints.size() > maxEndpointFacts) {
-            // Every host drops by the same order, so a full table is the same table everywhere.
+            // Every host evicts in the same order, so full tables are equal everywhere.
             const auto oldest = std::min_element(m_endpoints.begin(), m_endpoints.end(), [](const auto &left, const auto &right) {
                 return std::tie(left.second.version, left.first) < std::tie(right.second.version, right.first);
             });
             const EndpointId dropped = oldest->first;
             m_endpoints.erase(oldest);
-            m_endpointNews.erase(dropped);
+            m_pendingEndpoints.erase(dropped);
             if (dropped == fact.endpoint) {
                 return;
             }
         }
     }
-    m_endpointNews[fact.endpoint] = News();
+    m_pendingEndpoints[fact.endpoint] = PendingUpdate();
     m_actions.emplace_back(EndpointFactChanged{fact});
 }
 
-void Membership::notePresetVersion(const Member &member)
+void Membership::reportPresetVersion(const Member &member)
 {
     if (member.presetVersion > m_self.presetVersion && member.state != MemberState::Dead) {
         m_actions.emplace_back(PresetVersionSeen{member.host, member.presetVersion});
     }
 }
 
-void Membership::makeRoom()
+void Membership::evictIfFull()
 {
     if (m_members.size() < maxMembers) {
         return;
     }
-    // The longest dead goes first; a live host only when all are, and then its next datagram brings it back.
+    // Evicts the host that has been dead longest, or a live one if none is dead; the next datagram of a live host adds it again.
     const auto first = std::min_element(m_members.begin(), m_members.end(), [](const auto &left, const auto &right) {
         const bool leftLives = left.second.member.state != MemberState::Dead;
         const bool rightLives = right.second.member.state != MemberState::Dead;
@@ -180,10 +180,10 @@
 void Membership::forget(const HostId &host)
 {
     const auto found = m_members.find(host);
-    m_lives.erase(lifeKey(found->second.member));
+    m_hostsByIncarnation.erase(lifeKey(found->second.member));
     m_liveCount.reset();
     m_members.erase(found);
-    m_memberNews.erase(host);
+    m_pendingMembers.erase(host);
     m_actions.emplace_back(MemberForgotten{host});
 }
 
@@ -209,7 +209,7 @@
 
 void Membership::answerPing(const MembershipMessage &message)
 {
-    // Names this host, whichever was meant: a former host of this address is not kept alive by it (answerAck).
+    // States this host's own id, whichever target was pinged, so that the answer does not keep a former host of this address alive (answerAck).
     MembershipMessage answer = this->message(MembershipMessageKind::Ack);
     answer.sequence = message.sequence;
     answer.target = m_self.host;
@@ -254,7 +254,7 @@
         return;
     }
     m_nextSyncAnswer = now + syncAnswerInterval;
-    // The dead are left out: told again and again, they would outlive every host's retention.
+    // Dead hosts are left out: sent again and again, they would outlive the retention time of every host.
     std::vector<Member> members;
     for (const auto &[host, known] : m_members) {
         if (known.member.state != MemberState::Dead && host != message.sender.host) {
--- a/src/membership/membershipmeasure_test.cpp
+++ b/src/membership/membershipmeasure_test.cpp
@@ -18,10 +18,10 @@
 struct Traffic
 {
     double mean = 0;
-    double most = 0;
+    double maximum = 0;
 };
 
-/** Bytes a second a host, in and out, UDP and IP headers included, over the time that `run` takes. */
+/** Bytes per second and host, received and sent, including UDP and IP headers, over the virtual time that `run` takes. */
 template <class Run>
 Traffic trafficDuring(Fleet &fleet, Run run)
 {
@@ -39,7 +39,7 @@
         if (node.running) {
             const double rate = static_cast<double>(node.bytesIn + node.bytesOut - before[i]) / seconds;
             traffic.mean += rate;
-            traffic.most = std::max(traffic.most, rate);
+            traffic.maximum = std::max(traffic.maximum, rate);
             ++counted;
         }
     }
@@ -50,7 +50,7 @@
 struct Spread
 {
     double median = 0;
-    double most = 0;
+    double maximum = 0;
 };
 
 Spread spreadOf(std::vector<double> seconds)
@@ -62,7 +62,7 @@
 template <class Condition>
 double secondsUntil(Fleet &fleet, Condition condition)
 {
-    constexpr Duration checkInterval = 50ms; // The check itself costs more than the fleet's work.
+    constexpr Duration checkInterval = 50ms; // The check costs more than the simulation itself.
     return toSeconds(fleet.runUntil(condition, 5min, checkInterval));
 }
 
@@ -84,7 +84,7 @@
         secondsUntil(fleet, [&] { return fleet.everyViewIs(fleet.running()); });
         everywhere.push_back(toSeconds(fleet.now - died));
         fleet.run(1s);
-        Node &back = fleet.add(victim.place, victim.self.host.text());
+        Node &back = fleet.add(victim.slot, victim.self.host.text());
         secondsUntil(fleet, [&] { return fleet.everyViewIs(fleet.running()); });
         fleet.nodes[static_cast<std::size_t>(round)] = std::move(fleet.nodes.back());
         fleet.nodes.pop_back();
@@ -94,9 +94,9 @@
     const Spread all = spreadOf(everywhere);
     std::printf("  death seen by the first host: median %.1f s, most %.1f s; by all: median %.1f s, most %.1f s (%d deaths)\n",
                 one.median,
-                one.most,
+                one.maximum,
                 all.median,
-                all.most,
+                all.maximum,
                 rounds);
 }
 
@@ -114,15 +114,15 @@
             return std::all_of(fleet.nodes.begin(), fleet.nodes.end(), [&](const std::unique_ptr<Node> &node) { return node->core.endpointIsLeaving(id); });
         }));
         fleet.run(15s);
-        // Every host applies the version as soon as it hears of it, as if the fetch took no time.
+        // Every host applies the version as soon as an update reports it, as if fetching it took no time.
         fleet.carryOut(source, source.core.setPresetVersion(fleet.now, version));
         const Traffic during = trafficDuring(fleet, [&] {
             preset.push_back(secondsUntil(fleet, [&] {
                 bool all = true;
                 for (const std::unique_ptr<Node> &node : fleet.nodes) {
                     const std::vector<Member> members = node->core.members();
-                    const bool heard = std::any_of(members.begin(), members.end(), [&](const Member &member) { return member.presetVersion >= version; });
-                    if (heard && node->core.self().presetVersion < version) {
+                    const bool received = std::any_of(members.begin(), members.end(), [&](const Member &member) { return member.presetVersion >= version; });
+                    if (received && node->core.self().presetVersion < version) {
                         fleet.carryOut(*node, node->core.setPresetVersion(fleet.now, version));
                     }
                     all = all && node->core.self().presetVersion >= version;
@@ -132,29 +132,29 @@
             fleet.run(10s);
         });
         traffic.mean = std::max(traffic.mean, during.mean);
-        traffic.most = std::max(traffic.most, during.most);
+        traffic.maximum = std::max(traffic.maximum, during.maximum);
         fleet.run(20s);
     }
     const Spread one = spreadOf(endpoint);
     const Spread all = spreadOf(preset);
     std::printf("  endpoint leaving known by all: median %.2f s, most %.2f s; preset version by all: median %.2f s, most %.2f s (%d each)\n",
                 one.median,
-                one.most,
+                one.maximum,
                 all.median,
-                all.most,
+                all.maximum,
                 rounds);
-    std::printf("  in the 10 s after a switch: mean %.0f B/s, busiest host %.0f B/s\n", traffic.mean, traffic.most);
+    std::printf("  in the 10 s after a switch: mean %.0f B/s, busiest host %.0f B/s\n", traffic.mean, traffic.maximum);
 }
 
 void measureReplacement(Fleet &fleet, std::size_t hosts)
 {
-    for (std::size_t place = 0; place < hosts / 2; ++place) {
-        fleet.nodes[place]->running = false;
-        fleet.add(place, "new-" + std::to_string(place));
+    for (std::size_t slot = 0; slot < hosts / 2; ++slot) {
+        fleet.nodes[slot]->running = false;
+        fleet.add(slot, "new-" + std::to_string(slot));
     }
     double seconds = 0;
     const Traffic traffic = trafficDuring(fleet, [&] { seconds = secondsUntil(fleet, [&] { return fleet.everyViewIs(fleet.running()); }); });
-    std::printf("  half replaced at once: all agree after %.1f s, meanwhile mean %.0f B/s, busiest host %.0f B/s\n", seconds, traffic.mean, traffic.most);
+    std::printf("  half replaced at once: all agree after %.1f s, meanwhile mean %.0f B/s, busiest host %.0f B/s\n", seconds, traffic.mean, traffic.maximum);
 }
 
 } // namespace
@@ -173,7 +173,7 @@
                 hosts,
                 joined,
                 steady.mean,
-                steady.most,
+                steady.maximum,
                 processor * 100);
     measureDetection(fleet, std::min(rounds, static_cast<int>(hosts)));
     measureFacts(fleet, std::min(rounds, static_cast<int>(hosts) - 1));
--- a/src/membership/membershipprobing.cpp
+++ b/src/membership/membershipprobing.cpp
@@ -1,5 +1,6 @@
-// Who is probed, who is suspected, and when a suspect is dead. A probe has one period: the direct answer is
-// awaited first, then other hosts are asked, and at the period's end the silence counts.
+// Failure detection: selects the host to probe, suspects hosts that do not answer, and declares suspects dead. A probe takes one period. If
+// the direct answer does not arrive within directTimeout, other hosts are requested to probe; without any answer by the end of the period the
+// host becomes suspect.
 
 #include "membership/membership.h"
 
@@ -8,18 +9,18 @@
 namespace Rhubarbwind
 {
 
-void Membership::noteStall(TimePoint now)
+void Membership::detectStall(TimePoint now)
 {
     const Duration gap = now - m_lastTick;
     m_lastTick = now;
     if (gap <= stallPeriods * m_settings.period) {
         return;
     }
-    // The process was frozen or starved: answers wait unread, and every deadline ran out meanwhile. Judged now,
-    // all hosts would be dead to this one at once, and its duties would move to itself.
+    // The process was frozen or starved: answers wait unread in the socket, and every deadline has passed. Evaluated now, all other hosts
+    // would be declared dead at once, and this host would take over all duties.
     m_probe.reset();
     m_relays.clear();
-    m_lastHeard = std::max(m_lastHeard, now - m_settings.period);
+    m_lastReceived = std::max(m_lastReceived, now - m_settings.period);
     m_nextPeriod = now + m_settings.period;
     restartSuspicions(now);
 }
@@ -29,14 +30,14 @@
     for (auto &[host, known] : m_members) {
         if (known.suspectUntil) {
             known.suspectUntil = now + suspicionTime();
-            m_memberNews[host] = News(); // Told into the silence, it reached nobody who could refute it.
+            m_pendingMembers[host] = PendingUpdate(); // What was sent during the silence reached no host that could refute it.
         }
     }
 }
 
-void Membership::withdrawDeaths()
+void Membership::discardPendingDeaths()
 {
-    std::erase_if(m_memberNews, [&](const auto &entry) {
+    std::erase_if(m_pendingMembers, [&](const auto &entry) {
         const auto known = m_members.find(entry.first);
         return known != m_members.end() && known->second.member.state == MemberState::Dead;
     });
@@ -55,11 +56,11 @@
     }
     if (!m_probe->indirect && now - m_probe->sent >= m_settings.directTimeout) {
         m_probe->indirect = true;
-        askOthers(*m_probe);
+        requestIndirectProbes(*m_probe);
     }
 }
 
-void Membership::askOthers(const Probe &probe)
+void Membership::requestIndirectProbes(const Probe &probe)
 {
     const auto target = m_members.find(probe.target);
     if (target == m_members.end()) {
@@ -91,7 +92,7 @@
 
 std::optional<HostId> Membership::nextProbeTarget()
 {
-    // A shuffled round rather than a draw each time: it bounds how long a host can go unprobed.
+    // A shuffled round rather than a random choice each time: it bounds how long a host can remain unprobed.
     for (int round = 0; round < 2; ++round) {
         while (!m_probeOrder.empty()) {
             const HostId host = m_probeOrder.back();
@@ -111,26 +112,26 @@
     return std::nullopt;
 }
 
-bool Membership::withholdsAccusations(TimePoint now) const
+bool Membership::suppressesSuspicions(TimePoint now) const
 {
-    // A host that can send but not receive finds every peer silent. It can't tell that from their deaths, so it
-    // waits until its peers have found it dead and ignore what it says; then it may judge for itself.
-    const Duration silence = now - m_lastHeard;
-    return silence > stallPeriods * m_settings.period && silence < m_settings.deafGrace;
+    // A host that can send but not receive finds every peer silent and cannot distinguish that from their deaths. It waits until its peers
+    // consider it dead and ignore its reports of suspect and dead hosts; after that it may declare hosts suspect or dead again.
+    const Duration silence = now - m_lastReceived;
+    return silence > stallPeriods * m_settings.period && silence < m_settings.isolationGrace;
 }
 
 void Membership::suspect(TimePoint now, const HostId &host)
 {
     const auto found = m_members.find(host);
-    if (found == m_members.end() || found->second.member.state != MemberState::Alive || withholdsAccusations(now)) {
+    if (found == m_members.end() || found->second.member.state != MemberState::Alive || suppressesSuspicions(now)) {
         return;
     }
-    Member accused = found->second.member;
-    accused.state = MemberState::Suspect;
-    learn(now, accused);
+    Member suspected = found->second.member;
+    suspected.state = MemberState::Suspect;
+    mergeMember(now, suspected);
 }
 
-void Membership::passDeadlines(TimePoint now)
+void Membership::processDeadlines(TimePoint now)
 {
     expireSuspicions(now);
     forgetDead(now);
@@ -150,7 +151,7 @@
 
 void Membership::expireSuspicions(TimePoint now)
 {
-    if (withholdsAccusations(now)) {
+    if (suppressesSuspicions(now)) {
         return;
     }
     std::vector<Member> expired;
@@ -161,7 +162,7 @@
     }
     for (Member &member : expired) {
         member.state = MemberState::Dead;
-        learn(now, member);
+        mergeMember(now, member);
     }
 }
 
@@ -180,7 +181,7 @@
 
 Duration Membership::suspicionTime() const
 {
-    const std::size_t periods = m_settings.suspicionPeriods + log2Ceil(liveCount());
+    const std::size_t periods = m_settings.suspicionPeriods + bitWidth(liveCount());
     return m_settings.period * static_cast<Duration::rep>(periods);
 }
 
--- a/src/membership/membershipservice.cpp
+++ b/src/membership/membershipservice.cpp
@@ -56,7 +56,7 @@
     }
 
     Result<void, StartError> start(Member self, std::span<const SeedHost> seeds);
-    void stop(bool sayFarewell);
+    void stop(bool announce);
     void carryOut(const MembershipActions &actions);
 
     void setHandlers(MembershipHandlers handlers)
@@ -77,7 +77,7 @@
     void handleDatagram(std::size_t bytes);
     void scheduleTick();
     void transmit(const SendDatagram &datagram);
-    void handOn(const MembershipAction &action, bool &viewChanged);
+    void notifyHandlers(const MembershipAction &action, bool &viewChanged);
 
     udp::socket m_socket;
     SessionTimer<ClockType> m_timer;
@@ -86,7 +86,7 @@
     Membership m_membership;
     MembershipCounters m_counters;
     udp::endpoint m_from;
-    alignas(8) std::array<std::byte, maxDatagramBytes + 1> m_buffer{}; ///< one byte more, so that a longer datagram is seen as such
+    alignas(8) std::array<std::byte, maxDatagramBytes + 1> m_buffer{}; ///< one byte more than the maximum, so that a longer datagram is recognized
     bool m_stopped = false;
 };
 
@@ -107,7 +107,7 @@
         m_socket.non_blocking(true, error);
     }
     if (error) {
-        boost::system::error_code ignored; // Already failed.
+        boost::system::error_code ignored; // The start has failed already.
         m_socket.close(ignored);
         return StartError::ListenFailed;
     }
@@ -119,20 +119,20 @@
 }
 
 template <Clock ClockType>
-void MembershipService<ClockType>::Core::stop(bool sayFarewell)
+void MembershipService<ClockType>::Core::stop(bool announce)
 {
     if (m_stopped) {
         return;
     }
     m_stopped = true;
-    if (sayFarewell) {
-        for (const MembershipAction &action : m_membership.farewell(ClockType::now())) {
+    if (announce) {
+        for (const MembershipAction &action : m_membership.announceShutdown(ClockType::now())) {
             if (const SendDatagram *datagram = std::get_if<SendDatagram>(&action)) {
                 transmit(*datagram);
             }
         }
     }
-    boost::system::error_code ignored; // Nothing left to do on failure.
+    boost::system::error_code ignored; // A failure to close needs no handling.
     m_socket.close(ignored);
     m_timer.cancel();
 }
@@ -145,7 +145,7 @@
             if (self->m_stopped) {
                 return;
             }
-            // Linux reports a peer's closed port here; it says nothing about the next datagram.
+            // Linux reports the closed port of a peer here; later datagrams are not affected.
             if (!error) {
                 self->handleDatagram(bytes);
             }
@@ -192,7 +192,7 @@
         if (const SendDatagram *datagram = std::get_if<SendDatagram>(&action)) {
             transmit(*datagram);
         } else {
-            handOn(action, viewChanged);
+            notifyHandlers(action, viewChanged);
         }
     }
     if (viewChanged && !m_stopped && m_handlers.onView) {
@@ -201,7 +201,7 @@
 }
 
 template <Clock ClockType>
-void MembershipService<ClockType>::Core::handOn(const MembershipAction &action, bool &viewChanged)
+void MembershipService<ClockType>::Core::notifyHandlers(const MembershipAction &action, bool &viewChanged)
 {
     if (const MemberChanged *changed = std::get_if<MemberChanged>(&action)) {
         viewChanged = true;
@@ -241,8 +241,7 @@
         ++m_counters.sendFailures;
         return;
     }
-    // Sent at once or not at all: a full socket buffer loses the datagram as the network might, and the next
-    // period sends fresher ones.
+    // Not queued: when the socket buffer is full, the datagram is lost as it may be on the network, and the next period sends newer ones.
     m_socket.send_to(boost::asio::buffer(bytes.value()), udp::endpoint(ip, datagram.to.port), 0, error);
     if (error) {
         ++m_counters.sendFailures;
--- a/src/membership/membershipspreading.cpp
+++ b/src/membership/membershipspreading.cpp
@@ -1,6 +1,7 @@
-// How news travels. Each telling rides on whatever is sent, the least told first, until it was sent log2(hosts)
-// and a few times: epidemic spread reaches all with high probability, and comparing digests with a random host
-// repairs the rest. While there is news, gossip goes out between probes. Dead and unheard hosts are probed.
+// Dissemination of updates. Every datagram carries pending updates, those sent least often first, and each update is sent
+// extraTransmissions + log2(hosts) times. This epidemic spread reaches all hosts with high probability; comparing digests with a random host
+// repairs the remaining differences. While updates are pending, gossip is sent between probes. Dead hosts, and listed hosts that were never
+// received from, are probed periodically.
 
 #include "membership/membership.h"
 
@@ -16,7 +17,7 @@
 namespace
 {
 
-// Listed hosts asked at once while this host knows nobody.
+// Listed hosts that are contacted at once while this host knows no live host.
 constexpr std::size_t joinFanout = 3;
 
 class ViewHasher
@@ -50,7 +51,7 @@
 
 void Membership::gossip(TimePoint now)
 {
-    if (!active() || now < m_nextGossip || (m_memberNews.empty() && m_endpointNews.empty())) {
+    if (!active() || now < m_nextGossip || (m_pendingMembers.empty() && m_pendingEndpoints.empty())) {
         return;
     }
     m_nextGossip = now + m_settings.gossipInterval;
@@ -122,68 +123,68 @@
 
 void Membership::send(const PeerAddress &to, const HostId &host, MembershipMessage message)
 {
-    addNews(host, message);
+    addUpdates(host, message);
     m_actions.emplace_back(SendDatagram{to, std::move(message)});
 }
 
-void Membership::addNews(const HostId &recipient, MembershipMessage &message)
+void Membership::addUpdates(const HostId &recipient, MembershipMessage &message)
 {
     std::size_t bytes = encodedBytesBound(message);
     for (const Member &member : message.members) {
         bytes += encodedBytesBound(member);
     }
-    const auto add = [&](auto &list, const auto &telling) {
-        const std::size_t added = encodedBytesBound(telling);
-        const std::size_t tellings = message.members.size() + message.endpoints.size() + message.versions.size();
-        const bool fits = bytes + added <= m_settings.newsBytes && tellings < maxTellingsPerDatagram;
+    const auto add = [&](auto &list, const auto &update) {
+        const std::size_t added = encodedBytesBound(update);
+        const std::size_t updates = message.members.size() + message.endpoints.size() + message.versions.size();
+        const bool fits = bytes + added <= m_settings.maxUpdateBytes && updates < maxUpdatesPerDatagram;
         if (fits) {
             bytes += added;
-            list.push_back(telling);
+            list.push_back(update);
         }
         return fits;
     };
-    // Whoever is taken for suspect or dead hears it from everybody who speaks to it, so that it can refute.
-    const auto accused = m_members.find(recipient);
-    const bool tellAccused = accused != m_members.end() && accused->second.member.state != MemberState::Alive;
-    if (tellAccused) {
-        add(message.members, accused->second.member);
+    // Every datagram to a suspect or dead host reports that state to it, so that it can refute.
+    const auto recipientEntry = m_members.find(recipient);
+    const bool recipientSuspected = recipientEntry != m_members.end() && recipientEntry->second.member.state != MemberState::Alive;
+    if (recipientSuspected) {
+        add(message.members, recipientEntry->second.member);
     }
     const std::size_t limit = transmissionLimit();
-    for (auto it = m_endpointNews.begin(); it != m_endpointNews.end();) {
+    for (auto it = m_pendingEndpoints.begin(); it != m_pendingEndpoints.end();) {
         if (!add(message.endpoints, m_endpoints.at(it->first))) {
             break;
         }
-        it = ++it->second.sent >= limit ? m_endpointNews.erase(it) : std::next(it);
+        it = ++it->second.sent >= limit ? m_pendingEndpoints.erase(it) : std::next(it);
     }
-    // The least told first: fresh news overtakes what has nearly run its course.
+    // Those sent least often first, so that new updates overtake those that were already sent many times.
     std::vector<std::pair<std::size_t, const HostId *>> order;
-    for (const auto &[host, news] : m_memberNews) {
-        order.emplace_back(news.sent, &host);
+    for (const auto &[host, pending] : m_pendingMembers) {
+        order.emplace_back(pending.sent, &host);
     }
-    const std::size_t candidates = std::min(order.size(), maxTellingsPerDatagram);
+    const std::size_t candidates = std::min(order.size(), maxUpdatesPerDatagram);
     std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(candidates), order.end(), [](const auto &left, const auto &right) {
         return std::tie(left.first, *left.second) < std::tie(right.first, *right.second);
     });
     order.resize(candidates);
     for (const auto &[sent, candidate] : order) {
-        const HostId host = *candidate; // A copy: the entry goes with its last transmission.
-        const bool carriedAnyway = host == m_self.host || (tellAccused && host == recipient);
-        News &news = m_memberNews.at(host);
+        const HostId host = *candidate; // A copy: the entry is erased after its last transmission.
+        const bool alreadyIncluded = host == m_self.host || (recipientSuspected && host == recipient);
+        PendingUpdate &pending = m_pendingMembers.at(host);
         const Member &member = host == m_self.host ? m_self : m_members.at(host).member;
-        const bool added =
-            carriedAnyway || (news.versionOnly ? add(message.versions, VersionTelling{lifeKey(member), member.presetVersion}) : add(message.members, member));
+        const bool added = alreadyIncluded
+            || (pending.versionOnly ? add(message.versions, VersionUpdate{lifeKey(member), member.presetVersion}) : add(message.members, member));
         if (!added) {
             break;
         }
-        if (++news.sent >= limit) {
-            m_memberNews.erase(host);
+        if (++pending.sent >= limit) {
+            m_pendingMembers.erase(host);
         }
     }
 }
 
 std::size_t Membership::transmissionLimit() const
 {
-    return m_settings.extraTransmissions + log2Ceil(liveCount());
+    return m_settings.extraTransmissions + bitWidth(liveCount());
 }
 
 std::size_t Membership::liveCount() const
