--- a/src/preset/presetfleet_test.cpp
+++ b/src/preset/presetfleet_test.cpp
@@ -1,5 +1,5 @@
-// A few hosts' preset cores over a fake store and fake links on virtual time: what holds whatever the order of
-// switches, restarts, cuts and lost answers.
+// Runs the preset logic of several hosts over a fake store and fake links on virtual time, and checks invariants under any order of switches,
+// restarts, network cuts and lost answers.
 
 #include "preset/presetfakes_test.h"
 #include "preset/presetspread.h"
@@ -22,7 +22,7 @@
 constexpr std::size_t smallFleet = 6;
 constexpr Duration tick = 50ms;
 constexpr Duration watchGrace = 1s;
-constexpr Duration gossipInterval = 500ms; ///< how often a host hears of a random other's version by membership
+constexpr Duration gossipInterval = 500ms; ///< how often membership reports the version of a random host to each host
 
 std::vector<PresetPeer> peersOf(std::size_t size)
 {
@@ -58,18 +58,18 @@
     PresetSpread spread;
     std::size_t index;
     std::optional<WaitingWatch> watch;
-    std::uint64_t life = 0; ///< counts restarts; late answers of a former life are dropped
+    std::uint64_t incarnation = 0; ///< counts restarts; answers to a former incarnation are dropped
 };
 
-/** An operator's switch under way at a host. */
+/** An operator's switch in progress at a host. */
 struct RunningSwitch
 {
     PresetSwitch decision;
     PlatformStep step;
     OperationId operation;
     TimePoint waitUntil;
-    std::size_t at = 0; ///< the host that took the order
-    std::uint64_t life = 0; ///< of that host; a restart loses the answer
+    std::size_t at = 0; ///< the host that received the operator's request
+    std::uint64_t incarnation = 0; ///< of that host; the answer is lost if it restarts
 };
 
 class Fleet
@@ -86,20 +86,20 @@
     void startSwitch(std::size_t at)
     {
         const OperationId operation("op" + std::to_string(++m_operations));
-        SwitchOrder order{PresetName("ordinary"), OperatorName("ada"), operation, m_hosts[at].holder.version(), 0, {}};
-        PresetSwitch decision(std::move(order), {}, m_operations);
+        SwitchRequest request{PresetName("ordinary"), OperatorName("ada"), operation, m_hosts[at].holder.version(), 0, {}};
+        PresetSwitch decision(std::move(request), {}, m_operations);
         const PlatformStep step = decision.start(m_now);
-        m_switches.push_back({std::move(decision), step, operation, m_now, at, m_hosts[at].life});
+        m_switches.push_back({std::move(decision), step, operation, m_now, at, m_hosts[at].incarnation});
     }
 
     void restart(std::size_t index)
     {
-        const std::uint64_t life = m_hosts[index].life + 1;
+        const std::uint64_t incarnation = m_hosts[index].incarnation + 1;
         m_hosts[index] = Host(index, m_hosts.size(), m_random.engine()(), m_now);
-        m_hosts[index].life = life;
+        m_hosts[index].incarnation = incarnation;
     }
 
-    /** One step of virtual time: delivers what is due, lets every host and switch act. */
+    /** Advances virtual time by one step: delivers what is due, then advances every host and switch. */
     void pass()
     {
         m_now += tick;
@@ -155,17 +155,17 @@
     std::uint64_t frames = 0;
     FakeStore store = storeWith({"ordinary"});
     std::set<OperationId> applied; ///< operations that were in force in the store
-    bool fell = false; ///< some host's version went down
+    bool versionFell = false; ///< the version of some host has decreased
     // Faults, changed by the test.
     bool platformDown = false;
-    double loss = 0.0; ///< of calls and frames, before or after their effect
-    double late = 0.0; ///< part of the answers and frames that wait for another tick, and another
+    double loss = 0.0; ///< fraction of calls and frames that are lost, before or after their effect
+    double late = 0.0; ///< fraction of answers and frames that are delayed at each tick
     bool silentWatches = false;
     bool skipEvents = false;
     std::set<std::size_t> cutOff; ///< hosts without links to peers and platform
 
 private:
-    bool lost()
+    bool isLost()
     {
         return m_random.uniform() < loss;
     }
@@ -178,11 +178,11 @@
         return !cutOff.contains(left) && !cutOff.contains(right);
     }
 
-    /** Delivers at the next tick or later, unless the host restarts before. */
+    /** Delivers the event at the next tick or later, unless the host restarts before that. */
     void later(std::size_t index, std::function<void(Host &)> event)
     {
-        m_inFlight.push_back([this, index, life = m_hosts[index].life, event = std::move(event)] {
-            if (m_hosts[index].life == life) {
+        m_inFlight.push_back([this, index, incarnation = m_hosts[index].incarnation, event = std::move(event)] {
+            if (m_hosts[index].incarnation == incarnation) {
                 event(m_hosts[index]);
             }
         });
@@ -195,7 +195,7 @@
         }
         for (Host &host : m_hosts) {
             const std::size_t other = m_random.below(m_hosts.size());
-            if (linked(host.index, other) && !lost()) {
+            if (linked(host.index, other) && !isLost()) {
                 host.spread.onPeerVersion(peerName(other), m_hosts[other].holder.version(), m_now);
             }
         }
@@ -206,20 +206,20 @@
         return HostId("h" + std::to_string(index));
     }
 
-    void adopt(Host &host, const PresetInForce &offered, std::optional<PresetVersion> heldAtAsk)
+    void adopt(Host &host, const PresetInForce &offered, std::optional<PresetVersion> heldAtRequest)
     {
         const PresetVersion before = host.holder.version();
         const PresetPointer pointer = std::make_shared<const PresetInForce>(offered);
-        const PresetOffer offer = heldAtAsk ? host.holder.offerFromPlatform(pointer, *heldAtAsk) : host.holder.offerFromPeer(pointer);
-        fell = fell || host.holder.version() < before;
-        if (offer == PresetOffer::Adopted) {
+        const PresetOfferResult offer = heldAtRequest ? host.holder.offerFromPlatform(pointer, *heldAtRequest) : host.holder.offerFromPeer(pointer);
+        versionFell = versionFell || host.holder.version() < before;
+        if (offer == PresetOfferResult::Adopted) {
             host.spread.adopted(offered.version, m_now);
         }
     }
 
     void carryOut(Host &host, const SpreadAction &action)
     {
-        const bool frame = action.kind == SpreadAction::Kind::AskPeer || action.kind == SpreadAction::Kind::Announce;
+        const bool frame = action.kind == SpreadAction::Kind::RequestFromPeer || action.kind == SpreadAction::Kind::Announce;
         (frame ? frames : platformCalls) += 1;
         switch (action.kind) {
         case SpreadAction::Kind::ReadPlatform:
@@ -228,11 +228,11 @@
         case SpreadAction::Kind::Peek:
             peek(host, action.watchAfter);
             return;
-        case SpreadAction::Kind::AskPeer:
-            askPeer(host, indexOf(action.peer));
+        case SpreadAction::Kind::RequestFromPeer:
+            requestFromPeer(host, indexOf(action.peer));
             return;
         case SpreadAction::Kind::Watch:
-            host.watch = WaitingWatch{action.watchAfter, m_now + PresetSpreadOptions().watchWait, silentWatches || lost()};
+            host.watch = WaitingWatch{action.watchAfter, m_now + PresetSpreadOptions().watchWait, silentWatches || isLost()};
             return;
         case SpreadAction::Kind::Announce:
             announce(host, indexOf(action.peer));
@@ -242,7 +242,7 @@
 
     void readPlatform(Host &host)
     {
-        const bool answered = reaches(host) && !lost();
+        const bool answered = reaches(host) && !isLost();
         const PlatformResult<StoredObject> read = store.get(presetInForceKey);
         later(host.index, [this, answered, read, held = host.holder.version()](Host &self) {
             if (!answered) {
@@ -268,15 +268,15 @@
 
     void peek(Host &host, std::uint64_t after)
     {
-        const bool answered = reaches(host) && !lost();
+        const bool answered = reaches(host) && !isLost();
         const PlatformResult<WatchBatch> result =
             answered ? PlatformResult<WatchBatch>(changesAfter(after)) : platformError<WatchBatch>(PlatformErrorKind::Unknown);
         later(host.index, [this, result](Host &self) { self.spread.onPeek(result, m_now); });
     }
 
-    void askPeer(Host &host, std::size_t peer)
+    void requestFromPeer(Host &host, std::size_t peer)
     {
-        if (!linked(host.index, peer) || lost()) {
+        if (!linked(host.index, peer) || isLost()) {
             return;
         }
         const PresetPointer held = m_hosts[peer].holder.current();
@@ -290,7 +290,7 @@
 
     void announce(const Host &host, std::size_t peer)
     {
-        if (linked(host.index, peer) && !lost()) {
+        if (linked(host.index, peer) && !isLost()) {
             later(peer, [this, from = host.index, version = host.holder.version()](Host &self) { self.spread.onPeerVersion(peerName(from), version, m_now); });
         }
     }
@@ -318,15 +318,15 @@
         const bool down = platformDown;
         switch (running.step.kind) {
         case PlatformStep::Kind::Put: {
-            const bool lostBefore = lost();
+            const bool lostBefore = isLost();
             const PlatformResult<ObjectVersion> written =
                 down || lostBefore ? platformError<ObjectVersion>(PlatformErrorKind::Unknown) : store.put(decision.writeRequest());
             applied.insert(store.inForce().operation);
-            running.step = decision.onWritten(lost() ? platformError<ObjectVersion>(PlatformErrorKind::Unknown) : written, m_now);
+            running.step = decision.onWritten(isLost() ? platformError<ObjectVersion>(PlatformErrorKind::Unknown) : written, m_now);
             break;
         }
         case PlatformStep::Kind::Get:
-            running.step = decision.onRead(down || lost() ? platformError<StoredObject>(PlatformErrorKind::Unknown) : store.get(decision.readKey()), m_now);
+            running.step = decision.onRead(down || isLost() ? platformError<StoredObject>(PlatformErrorKind::Unknown) : store.get(decision.readKey()), m_now);
             break;
         case PlatformStep::Kind::Wait:
             running.step = m_now >= running.waitUntil ? decision.onWaited(m_now) : running.step;
@@ -336,7 +336,7 @@
         }
         running.waitUntil = m_now + running.step.wait;
         const PresetPointer accepted = running.decision.result().accepted;
-        if (running.step.kind == PlatformStep::Kind::Done && accepted != nullptr && m_hosts[running.at].life == running.life) {
+        if (running.step.kind == PlatformStep::Kind::Done && accepted != nullptr && m_hosts[running.at].incarnation == running.incarnation) {
             adopt(m_hosts[running.at], *accepted, std::nullopt);
         }
     }
@@ -350,7 +350,7 @@
     std::uint64_t m_operations = 0;
 };
 
-/** One arbitrary event of the outside, then some time. */
+/** Applies one arbitrary switch, restart or fault, then lets time pass. */
 void disturb(Fleet &fleet)
 {
     const std::size_t host = *rc::gen::inRange<std::size_t>(0, smallFleet);
@@ -387,7 +387,7 @@
     fleet.passFor(tick * *rc::gen::inRange(1, 40));
 }
 
-bool toldTheTruth(const Fleet &fleet, const RunningSwitch &running)
+bool outcomeIsCorrect(const Fleet &fleet, const RunningSwitch &running)
 {
     const ChangeOutcome outcome = running.decision.result().outcome;
     if (running.step.kind != PlatformStep::Kind::Done || outcome == ChangeOutcome::Unresolved) {
@@ -398,9 +398,9 @@
 
 } // namespace
 
-// Operators see a change come and stay. Switches, restarts, cuts, outages, silent watches and lost answers come
-// in any order. No host's version may ever fall, nobody is told wrongly, and when the faults end all hosts hold
-// what the platform holds. Without the holder's rule a late answer or a lagging peer would bring the old back.
+// Switches, restarts, cuts, outages, silent watches and lost answers occur in any order. No host's version may ever decrease, every reported
+// outcome must be correct, and after the faults all hosts must hold the platform's preset. If PresetHolder adopted older versions, a late answer
+// or a lagging peer would revert a change.
 TEST_CASE("applied versions never fall on any host, and all converge", "[config-monotonic]")
 {
     rc::prop("any interleaving", [] {
@@ -408,7 +408,7 @@
         const int events = *rc::gen::inRange(1, 25);
         for (int i = 0; i < events; ++i) {
             disturb(fleet);
-            RC_ASSERT(!fleet.fell);
+            RC_ASSERT(!fleet.versionFell);
         }
         fleet.platformDown = false;
         fleet.loss = 0.0;
@@ -416,18 +416,18 @@
         fleet.silentWatches = false;
         fleet.skipEvents = false;
         fleet.cutOff.clear();
-        fleet.passFor(20s); // switches under way end within their 10 s, watchers read whole within 15 s
-        RC_ASSERT(!fleet.fell);
+        fleet.passFor(20s); // switches in progress end within their 10 s, watchers read the object within 15 s
+        RC_ASSERT(!fleet.versionFell);
         RC_ASSERT(fleet.converged());
         for (const RunningSwitch &running : fleet.switches()) {
-            RC_ASSERT(toldTheTruth(fleet, running));
+            RC_ASSERT(outcomeIsCorrect(fleet, running));
         }
     });
 }
 
-// An operator's change reaches every host in seconds. First the change is accepted, then faults take away one
-// way of learning of it after the other. Each of the other ways must be enough within 4 s.
-TEST_CASE("an accepted change is everywhere within 4 s though one way of learning is gone", "[config-monotonic]")
+// An accepted change must reach every host within 4 s although one of the ways to learn of it has failed: silent watches, lost calls and
+// frames, or an outage of the platform right after the change.
+TEST_CASE("an accepted change reaches every host within 4 s although one way to learn of it has failed", "[config-monotonic]")
 {
     const int fault = GENERATE(0, 1, 2, 3);
     CAPTURE(fault);
@@ -445,7 +445,7 @@
         }
         fleet.platformDown = fault == 3;
         if (fault == 3) {
-            fleet.restart(1); // the host that took the change is gone with its memory
+            fleet.restart(1); // the host that accepted the change loses its state
         }
         fleet.passFor(4s);
         const bool someHostKnows = std::ranges::any_of(fleet.hosts(), [](const Host &host) { return host.holder.version() == 2; });
@@ -454,7 +454,7 @@
     }
 }
 
-// Figures, not a check: virtual time from the acceptance of a switch until every host holds it, in steps of 50 ms.
+// Prints figures, checks nothing: virtual time from the acceptance of a switch until every host holds it, in steps of 50 ms.
 TEST_CASE("time from accepted to everywhere, by fleet size and fault", "[.measure]")
 {
     const std::size_t size = GENERATE(9, 32, 96, 370);
--- a/src/preset/presetjson.cpp
+++ b/src/preset/presetjson.cpp
@@ -1,8 +1,8 @@
-// Each object is read through a JsonReader, which goes on after a fault with the default in place, so one pass
-// finds all of them; the half-read value is thrown away when there was any.
+// Each object is read through a JsonReader, which retains the default for a faulty value and continues, so that one pass finds all faults. If
+// there is any fault, the partly read value is discarded.
 //
-// A schema library was weighed and left: Debian has none for Boost.JSON, and bounds that involve two fields
-// (the sum of shares, preemptible and idempotent) would need code beside it anyway.
+// No schema library is used: Debian has none for Boost.JSON, and rules that involve two fields (the sum of shares, preemptible and idempotent)
+// would need separate code anyway.
 
 #include "preset/presetjson.h"
 
@@ -22,14 +22,14 @@
 constexpr std::size_t maxOperatorBytes = 128;
 constexpr std::uint64_t maxTier = 15;
 constexpr Duration shortestTarget = 1ms;
-constexpr Duration longestTarget = 1h; ///< beyond it a target is a mistake in the unit
+constexpr Duration longestTarget = 1h; ///< a greater target is most likely a wrong unit
 constexpr std::uint64_t maxTokensPerAnswer = 1'000'000;
 constexpr std::uint64_t maxQueueLimit = 1'000'000;
 constexpr std::uint64_t maxParallelLoads = 1000;
 constexpr std::size_t maxGoals = 4096;
 constexpr std::size_t maxAdapters = 64;
 constexpr double maxWeight = 1000.0;
-constexpr double shareTolerance = 1e-9; ///< the sum of shares is a sum of rounded numbers
+constexpr double shareTolerance = 1e-9; ///< for rounding errors in the sum of shares
 constexpr std::size_t sha256HexDigits = 64;
 
 bool isLowerHex(char c)
@@ -91,7 +91,7 @@
     reader.flag("preemptible", rule.preemptible);
     reader.integer("estimated_tokens", rule.estimatedTokens, 1, maxTokensPerAnswer);
     reader.integer("queue_limit", rule.queueLimit, 1, maxQueueLimit);
-    // A preempted request is run again; one that may run only once would be lost.
+    // A preempted request is run again, so a request that may run only once would be lost.
     if (rule.preemptible && !rule.idempotent) {
         reader.fault("preemptible", "true", "false where idempotent is false");
     }
@@ -119,7 +119,7 @@
     target.push_back(std::move(goal));
 }
 
-/** Reports each name that stands twice: the second would silently win or lose. */
+/** Reports each name that occurs twice: otherwise one of the two rules would silently be ignored. */
 template <class Rules, class Project>
 void refuseDuplicates(JsonReader &reader, const Rules &rules, std::string_view list, std::string_view field, Project project)
 {
@@ -127,8 +127,8 @@
     for (std::size_t i = 0; i < rules.size(); ++i) {
         const std::string &name = project(rules[i]);
         if (!name.empty() && !seen.insert(name).second) {
-            const std::string place = std::string(list) + "[" + std::to_string(i) + "]." + std::string(field);
-            reader.fault(place, "\"" + name + "\"", "a name that stands once in the list");
+            const std::string path = std::string(list) + "[" + std::to_string(i) + "]." + std::string(field);
+            reader.fault(path, "\"" + name + "\"", "a name that occurs only once in the list");
         }
     }
 }
@@ -188,7 +188,7 @@
     document.by = OperatorName(std::move(by));
 }
 
-void readEnclosed(JsonReader &reader, Preset &preset)
+void readNestedPreset(JsonReader &reader, Preset &preset)
 {
     reader.object(
         "preset", [&](JsonReader &inner) { readPreset(inner, preset); }, true);
@@ -202,14 +202,14 @@
     reader.integer("version", inForce.version, 1, maxVersion, true);
     readStamp(reader, inForce);
     reader.integer("accepted_unix_ms", inForce.acceptedUnixMs, 0, maxUnixMs);
-    readEnclosed(reader, inForce.preset);
+    readNestedPreset(reader, inForce.preset);
 }
 
 void readLibrary(JsonReader &reader, LibraryPreset &entry)
 {
     readStamp(reader, entry);
     reader.integer("applied_unix_ms", entry.appliedUnixMs, 0, maxUnixMs);
-    readEnclosed(reader, entry.preset);
+    readNestedPreset(reader, entry.preset);
 }
 
 void readHistory(JsonReader &reader, PresetHistoryEntry &entry)
@@ -220,7 +220,7 @@
     readIdentifier(reader, "name", entry.name);
 }
 
-/** Every document kind goes through here. */
+/** Parses any kind of document, after checking its size. */
 template <class Document>
 Result<Document, PresetFaults> parseBounded(std::string_view text, void (*read)(JsonReader &, Document &))
 {
--- a/src/preset/presetjson_test.cpp
+++ b/src/preset/presetjson_test.cpp
@@ -34,7 +34,7 @@
     rule.firstTokenTarget = std::chrono::milliseconds(*rc::gen::inRange(1, 100'000));
     rule.interTokenTarget = std::chrono::milliseconds(*rc::gen::inRange(1, 10'000));
     rule.queueDeadline = std::chrono::milliseconds(*rc::gen::inRange(1, 3'600'001));
-    rule.minimumShare = *rc::gen::inRange(0, 16) / 1000.0; // 64 classes stay below 1 together
+    rule.minimumShare = *rc::gen::inRange(0, 16) / 1000.0; // the sum over 64 classes stays below 1
     rule.idempotent = *rc::gen::arbitrary<bool>();
     rule.reproducible = *rc::gen::arbitrary<bool>();
     rule.preemptible = rule.idempotent && *rc::gen::arbitrary<bool>();
@@ -146,13 +146,13 @@
     CHECK(parsePreset(withClassField(row.field)).has_value() == row.allowed);
 }
 
-TEST_CASE("shares that add up to more than the whole are refused")
+TEST_CASE("minimum shares that add up to more than 1 are refused")
 {
     CHECK(parsePreset(R"({"name":"p","classes":[{"name":"a","tier":0,"minimum_share":0.6},{"name":"b","tier":0,"minimum_share":0.4}]})").has_value());
     CHECK(parsePreset(R"({"name":"p","classes":[{"name":"a","tier":0,"minimum_share":0.6},{"name":"b","tier":0,"minimum_share":0.5}]})").has_error());
 }
 
-TEST_CASE("a key that stands twice is a fault, though the last one is valid")
+TEST_CASE("a duplicate key is a fault although its last value is valid")
 {
     const Result<Preset, PresetFaults> preset =
         parsePreset(R"({"name":"p","name":"q","classes":[{"name":"a","tier":0},{"name":"b","tier":0,/* again */"ti\u0065r":1}],"customers":[]})");
--- a/src/preset/presetservice_test.cpp
+++ b/src/preset/presetservice_test.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** The store as an ObjectApi: answers on the next turn of the executor. */
+/** The store as an ObjectApi. Answers are posted to the executor. */
 class FakeApi
 {
 public:
@@ -55,7 +55,7 @@
 
     FakeStore store;
     bool down = false;
-    int loseAnswers = 0; ///< of the next writes, after their effect
+    int loseAnswers = 0; ///< number of next writes whose answers are lost after their effect
 
 private:
     template <class T>
@@ -184,7 +184,7 @@
         return *found;
     }
 
-    /** A manual clock's timers never sleep, so poll() always finds one more: a fixed number of turns, enough for every answer. */
+    /** Runs a fixed number of handlers, enough for all answers. Timers of a ManualClock are always ready, so poll() would never return. */
     void settle()
     {
         constexpr int turns = 50;
@@ -214,7 +214,7 @@
     bench.pass(100ms);
     CHECK_FALSE(bench.services[0]->ready());
     CHECK(bench.switchAt(bench.services[0], "ordinary", "ada").outcome == ChangeOutcome::Accepted);
-    CHECK(bench.services[0]->current()->version == 1); // here before the operator is told
+    CHECK(bench.services[0]->current()->version == 1); // in force on this host before the operator receives the result
     CHECK(bench.switchAt(bench.services[1], "peak", "bo").accepted->version == 2);
     bench.pass(1s);
     for (const std::shared_ptr<Service> &service : bench.services) {
@@ -225,8 +225,8 @@
     CHECK(seen.back() == 2);
 }
 
-// A host started in an outage serves requests. First a change is accepted, then the platform goes down, then a
-// host starts. It asks a peer. Without that it would stay not ready until the platform is back.
+// A host that starts during an outage of the platform must get the preset from a peer. Otherwise it would not be ready until the platform is
+// available again.
 TEST_CASE("a host started in an outage gets the preset from a peer")
 {
     Bench bench;
@@ -240,7 +240,7 @@
     CHECK(late->ready());
 }
 
-TEST_CASE("a lost answer to a switch is resolved, and history and library tell who did what")
+TEST_CASE("a lost answer to a switch is resolved, and history and library show which operator made each change")
 {
     Bench bench;
     const std::shared_ptr<Service> service = bench.add("a");
@@ -263,9 +263,9 @@
     CHECK(library[0].preset.name == PresetName("maintenance"));
 }
 
-// Requests go on under the preset in force although the platform shows an old one or none that can be read. The
-// host raises an alarm and keeps what it has. Without the check a restored backup would undo an accepted change.
-TEST_CASE("a platform that went back or holds no preset is an alarm, never an adoption", "[config-monotonic]")
+// When the platform shows an older preset or an unreadable one, the host must raise an alarm and retain the preset in force. Otherwise a
+// restored backup would undo an accepted change.
+TEST_CASE("an older or unreadable preset on the platform raises an alarm and is not adopted", "[config-monotonic]")
 {
     Bench bench;
     const std::shared_ptr<Service> service = bench.add("a");
@@ -273,7 +273,7 @@
     const std::string old = bench.api.store.get(presetInForceKey).value().value;
     bench.switchAt(service, "peak", "bo");
     bench.api.store.overwrite(presetInForceKey, old);
-    bench.pass(16s); // one poll at least
+    bench.pass(16s); // at least one poll
     CHECK(service->alarms().regressed > 0);
     CHECK(service->current()->version == 2);
     bench.api.store.overwrite(presetInForceKey, "{");
--- a/src/preset/presetspread.cpp
+++ b/src/preset/presetspread.cpp
@@ -1,9 +1,8 @@
-// State is a due time for each kind of call and whether one is under way; events move the due times, advance()
-// turns what is due into actions. At most one call of each kind is under way, so the cost of a host is bounded
-// whatever it hears.
+// The state holds, for each kind of call, its due time and whether a call is in progress. Events change the due times; advance() returns the
+// actions that are due. At most one call of each kind is in progress, so the cost per host is bounded whatever it receives.
 //
-// Waits after a failure double with full jitter (AWS Architecture Blog, "Exponential Backoff and Jitter", 2015), so
-// that a fleet that lost the platform together does not return together.
+// Waits after a failure double with full jitter (AWS Architecture Blog, "Exponential Backoff and Jitter", 2015), so that the hosts of a fleet
+// do not all call the platform at the same moment after an outage.
 
 #include "preset/presetspread.h"
 
@@ -20,8 +19,8 @@
     , m_random(seed)
     , m_readAt(now)
     , m_readBackoff(options.firstRetry, options.longestRetry)
-    , m_askAt(now)
-    , m_askBackoff(options.firstRetry, options.longestRetry)
+    , m_requestAt(now)
+    , m_requestBackoff(options.firstRetry, options.longestRetry)
     , m_watchAt(now)
     , m_watchBackoff(options.firstRetry, options.longestRetry)
     , m_lastContact(now)
@@ -45,9 +44,10 @@
         const std::vector<HostId> watchers = rendezvousRank(hosts, "preset-watch/" + domain.text(), m_options.watchersPerDomain);
         m_isWatcher = m_isWatcher || std::ranges::find(watchers, self) != watchers.end();
     }
-    std::erase_if(m_heard, [this](const std::pair<const HostId, PresetVersion> &entry) { return std::ranges::find(m_peers, entry.first) == m_peers.end(); });
+    std::erase_if(m_peerVersions,
+                  [this](const std::pair<const HostId, PresetVersion> &entry) { return std::ranges::find(m_peers, entry.first) == m_peers.end(); });
     if (m_held == 0) {
-        m_askAt = std::min(m_askAt, now);
+        m_requestAt = std::min(m_requestAt, now);
     }
 }
 
@@ -57,14 +57,14 @@
         return;
     }
     m_lastContact = std::max(m_lastContact, now);
-    if (m_heard.size() >= maxHeard && !m_heard.contains(host)) {
+    if (m_peerVersions.size() >= maxPeerVersions && !m_peerVersions.contains(host)) {
         return;
     }
-    const bool news = version > newestHeard() && version > m_held;
-    m_heard[host] = version;
-    if (news) {
-        m_askAt = now;
-        m_askBackoff.reset();
+    const bool isNewer = version > newestKnown() && version > m_held;
+    m_peerVersions[host] = version;
+    if (isNewer) {
+        m_requestAt = now;
+        m_requestBackoff.reset();
         m_readAt = std::min(m_readAt, now + m_options.peerTimeout);
     }
 }
@@ -73,9 +73,9 @@
 {
     m_held = version;
     m_toAnnounce = true;
-    if (!isBehind() && m_platformAnswers) {
+    if (!isBehind() && m_platformAvailable) {
         m_readAt = now + jitteredPoll();
-        m_askAt = m_readAt;
+        m_requestAt = m_readAt;
     }
 }
 
@@ -83,10 +83,10 @@
 {
     m_reading = false;
     if (!revision) {
-        onPlatformSilent(now);
+        onPlatformUnavailable(now);
         return;
     }
-    m_platformAnswers = true;
+    m_platformAvailable = true;
     m_lastContact = std::max(m_lastContact, now);
     m_watchAfter = std::max(m_watchAfter, *revision);
     m_peeks = 0;
@@ -106,23 +106,23 @@
 {
     m_reading = false;
     if (result.has_error()) {
-        onPlatformSilent(now);
+        onPlatformUnavailable(now);
         return;
     }
-    m_platformAnswers = true;
+    m_platformAvailable = true;
     m_readBackoff.reset();
     m_readAt = m_readWanted ? now : now + jitteredPoll();
-    noteWatched(result.value(), now);
+    applyWatchBatch(result.value(), now);
 }
 
-void PresetSpread::onPlatformSilent(TimePoint now)
+void PresetSpread::onPlatformUnavailable(TimePoint now)
 {
-    const bool answeredBefore = std::exchange(m_platformAnswers, false);
+    const bool wasAvailable = std::exchange(m_platformAvailable, false);
     m_readAt = now + m_readBackoff.next(m_random);
-    m_askAt = answeredBefore ? now : m_askAt; // ask a peer in its place, then at its own pace
+    m_requestAt = wasAvailable ? now : m_requestAt; // the first failure makes a request to a peer due at once; later ones leave its schedule unchanged
 }
 
-void PresetSpread::noteWatched(const WatchBatch &batch, TimePoint now)
+void PresetSpread::applyWatchBatch(const WatchBatch &batch, TimePoint now)
 {
     m_lastContact = std::max(m_lastContact, now);
     m_watchAfter = batch.next;
@@ -132,26 +132,26 @@
     }
 }
 
-void PresetSpread::onPeerAnswer(const HostId &host, PresetVersion itsVersion, TimePoint now)
+void PresetSpread::onPeerAnswer(const HostId &host, PresetVersion peerVersion, TimePoint now)
 {
-    onPeerVersion(host, itsVersion, now);
-    if (m_asked != host) {
+    onPeerVersion(host, peerVersion, now);
+    if (m_requestedPeer != host) {
         return;
     }
-    m_asked.reset();
+    m_requestedPeer.reset();
     if (isBehind() || m_held == 0) {
-        m_askAt = now + m_askBackoff.next(m_random);
+        m_requestAt = now + m_requestBackoff.next(m_random);
         return;
     }
-    m_askBackoff.reset();
-    m_askAt = now + jitteredPoll();
+    m_requestBackoff.reset();
+    m_requestAt = now + jitteredPoll();
 }
 
 void PresetSpread::onWatch(const PlatformResult<WatchBatch> &result, TimePoint now)
 {
     m_watching = false;
     if (result.has_error()) {
-        // The watch may have been silent while there was news: look by another connection at once.
+        // The watch may have been silent although the preset changed: read over another connection at once.
         m_watchAt = now + m_watchBackoff.next(m_random);
         m_readWanted = true;
         m_readAt = std::min(m_readAt, now);
@@ -159,14 +159,14 @@
     }
     m_watchBackoff.reset();
     m_watchAt = now;
-    noteWatched(result.value(), now);
+    applyWatchBatch(result.value(), now);
 }
 
 SpreadActions PresetSpread::advance(TimePoint now)
 {
     SpreadActions actions;
     m_settled = m_settled || (m_held != 0 && !isBehind());
-    expirePeerQuestion(now);
+    expirePeerRequest(now);
     advanceAnnouncements(actions);
     advanceRead(now, actions);
     advancePeer(now, actions);
@@ -177,7 +177,7 @@
 TimePoint PresetSpread::nextTick() const
 {
     TimePoint next = m_reading ? TimePoint::max() : m_readAt;
-    next = std::min(next, m_asked ? m_askedUntil : m_askAt);
+    next = std::min(next, m_requestedPeer ? m_requestExpires : m_requestAt);
     if (m_isWatcher && !m_watching) {
         next = std::min(next, m_watchAt);
     }
@@ -190,10 +190,10 @@
     return m_held != 0 && settled && now - m_lastContact <= m_options.isolationLimit;
 }
 
-PresetVersion PresetSpread::newestHeard() const
+PresetVersion PresetSpread::newestKnown() const
 {
     PresetVersion newest = 0;
-    for (const auto &[host, version] : m_heard) {
+    for (const auto &[host, version] : m_peerVersions) {
         newest = std::max(newest, version);
     }
     return newest;
@@ -201,14 +201,14 @@
 
 bool PresetSpread::isBehind() const
 {
-    return newestHeard() > m_held;
+    return newestKnown() > m_held;
 }
 
-void PresetSpread::expirePeerQuestion(TimePoint now)
+void PresetSpread::expirePeerRequest(TimePoint now)
 {
-    if (m_asked && now >= m_askedUntil) {
-        m_asked.reset();
-        m_askAt = now + m_askBackoff.next(m_random);
+    if (m_requestedPeer && now >= m_requestExpires) {
+        m_requestedPeer.reset();
+        m_requestAt = now + m_requestBackoff.next(m_random);
     }
 }
 
@@ -218,7 +218,7 @@
         return;
     }
     m_reading = true;
-    const bool quietPoll = m_platformAnswers && m_held != 0 && !isBehind() && !m_readWanted;
+    const bool quietPoll = m_platformAvailable && m_held != 0 && !isBehind() && !m_readWanted;
     if (quietPoll && !m_isWatcher && m_peeks < m_options.peeksPerRead) {
         ++m_peeks;
         actions.push_back({SpreadAction::Kind::Peek, HostId(), m_watchAfter});
@@ -230,18 +230,18 @@
 
 void PresetSpread::advancePeer(TimePoint now, SpreadActions &actions)
 {
-    if (m_asked || now < m_askAt) {
+    if (m_requestedPeer || now < m_requestAt) {
         return;
     }
     const bool urgent = isBehind() || m_held == 0;
-    const std::optional<HostId> peer = urgent || !m_platformAnswers ? choosePeer() : std::nullopt;
+    const std::optional<HostId> peer = urgent || !m_platformAvailable ? choosePeer() : std::nullopt;
     if (!peer) {
-        m_askAt = now + (urgent ? m_askBackoff.next(m_random) : jitteredPoll());
+        m_requestAt = now + (urgent ? m_requestBackoff.next(m_random) : jitteredPoll());
         return;
     }
-    m_asked = peer;
-    m_askedUntil = now + m_options.peerTimeout;
-    actions.push_back({SpreadAction::Kind::AskPeer, *peer, 0});
+    m_requestedPeer = peer;
+    m_requestExpires = now + m_options.peerTimeout;
+    actions.push_back({SpreadAction::Kind::RequestFromPeer, *peer, 0});
 }
 
 void PresetSpread::advanceWatch(TimePoint now, SpreadActions &actions)
@@ -266,11 +266,11 @@
     }
 }
 
-/** One of those that hold something newer; else any, for a host that holds nothing or lost the platform. */
+/** A random peer that holds a newer version; if there is none, any peer, for a host that holds no preset or cannot reach the platform. */
 std::optional<HostId> PresetSpread::choosePeer()
 {
     std::vector<HostId> newer;
-    for (const auto &[host, version] : m_heard) {
+    for (const auto &[host, version] : m_peerVersions) {
         if (version > m_held) {
             newer.push_back(host);
         }
--- a/src/preset/presetspread_test.cpp
+++ b/src/preset/presetspread_test.cpp
@@ -40,7 +40,7 @@
     return std::ranges::find(actions, kind, &SpreadAction::kind) != actions.end();
 }
 
-/** A host that holds version 1 and has nothing under way. */
+/** A host that holds version 1 and has no call in progress. */
 PresetSpread settledHost()
 {
     PresetSpread spread({}, 5, start);
@@ -60,21 +60,21 @@
 TEST_CASE("a host adopts only greater versions", "[config-monotonic]")
 {
     PresetHolder holder;
-    CHECK(holder.offerFromPlatform(version(3), 0) == PresetOffer::Adopted);
-    CHECK(holder.offerFromPeer(version(2)) == PresetOffer::Older);
-    CHECK(holder.offerFromPlatform(version(2), 2) == PresetOffer::Older); // asked before version 3 came from a peer
-    CHECK(holder.offerFromPlatform(version(2), 3) == PresetOffer::Regressed);
-    CHECK(holder.offerFromPlatform(version(3), 3) == PresetOffer::Known);
-    CHECK(holder.offerFromPeer(version(3, "other")) == PresetOffer::Forked);
+    CHECK(holder.offerFromPlatform(version(3), 0) == PresetOfferResult::Adopted);
+    CHECK(holder.offerFromPeer(version(2)) == PresetOfferResult::Older);
+    CHECK(holder.offerFromPlatform(version(2), 2) == PresetOfferResult::Older); // requested before version 3 came from a peer
+    CHECK(holder.offerFromPlatform(version(2), 3) == PresetOfferResult::Regressed);
+    CHECK(holder.offerFromPlatform(version(3), 3) == PresetOfferResult::Known);
+    CHECK(holder.offerFromPeer(version(3, "other")) == PresetOfferResult::Forked);
     CHECK(holder.version() == 3);
-    CHECK(holder.offerFromPeer(version(4)) == PresetOffer::Adopted);
+    CHECK(holder.offerFromPeer(version(4)) == PresetOfferResult::Adopted);
 }
 
-TEST_CASE("about two hosts of each failure domain watch, also after one is gone")
+TEST_CASE("two hosts of each failure domain watch, also after one is removed")
 {
-    for (const std::size_t gone : {99, 0, 4}) {
+    for (const std::size_t removed : {99, 0, 4}) {
         std::vector<PresetPeer> live = fleet(9);
-        std::erase_if(live, [&](const PresetPeer &peer) { return peer.host == hostName(gone); });
+        std::erase_if(live, [&](const PresetPeer &peer) { return peer.host == hostName(removed); });
         std::map<FailureDomain, int> watchers;
         for (const PresetPeer &peer : live) {
             PresetSpread spread({}, 1, start);
@@ -87,20 +87,20 @@
     }
 }
 
-TEST_CASE("a starting host reads the platform and asks a peer at once, and is not ready before it has one")
+TEST_CASE("a starting host reads the platform and requests from a peer at once, and is not ready before it holds a preset")
 {
     PresetSpread spread({}, 1, start);
     spread.setHosts(hostName(0), fleet(9), start);
     const SpreadActions actions = spread.advance(start);
     CHECK(has(actions, SpreadAction::Kind::ReadPlatform));
-    CHECK(has(actions, SpreadAction::Kind::AskPeer));
+    CHECK(has(actions, SpreadAction::Kind::RequestFromPeer));
     CHECK_FALSE(spread.isReady(start));
     spread.adopted(1, start);
     spread.advance(start);
     CHECK(spread.isReady(start));
 }
 
-TEST_CASE("a starting host that knows of a newer version waits for it, but not for ever")
+TEST_CASE("a starting host that knows of a newer version waits for it, at most for the settle limit")
 {
     PresetSpread spread({}, 1, start);
     spread.setHosts(hostName(0), fleet(9), start);
@@ -111,19 +111,19 @@
     CHECK(spread.isReady(start + PresetSpreadOptions().settleLimit));
 }
 
-TEST_CASE("a host that hears of a newer version asks that peer, then the platform")
+TEST_CASE("a host that learns of a newer version requests it from that peer, then from the platform")
 {
     PresetSpread spread = settledHost();
     spread.onPeerVersion(hostName(3), 2, start + 100ms);
     const SpreadActions actions = spread.advance(start + 100ms);
-    REQUIRE(has(actions, SpreadAction::Kind::AskPeer));
-    CHECK(std::ranges::find(actions, SpreadAction::Kind::AskPeer, &SpreadAction::kind)->peer == hostName(3));
+    REQUIRE(has(actions, SpreadAction::Kind::RequestFromPeer));
+    CHECK(std::ranges::find(actions, SpreadAction::Kind::RequestFromPeer, &SpreadAction::kind)->peer == hostName(3));
     CHECK_FALSE(has(actions, SpreadAction::Kind::ReadPlatform));
     CHECK(has(spread.advance(start + 600ms), SpreadAction::Kind::ReadPlatform));
 }
 
-// The host learns of a change although its watch went silent. First the watch ends without an answer, then the
-// platform is read over another connection. Without that read the change would wait for the next slow poll.
+// A watch that ends without an answer may have missed a change, so the platform is read over another connection at once. Without that read the
+// change would wait for the next poll.
 TEST_CASE("a watch that ended without an answer is followed by a read at once")
 {
     PresetSpread spread = settledHost();
@@ -131,22 +131,22 @@
     CHECK(has(spread.advance(start + 3s), SpreadAction::Kind::ReadPlatform));
 }
 
-TEST_CASE("a host that adopts a version tells a few peers, once")
+TEST_CASE("a host that adopts a version announces it to a few peers, once")
 {
     PresetSpread spread = settledHost();
     spread.adopted(2, start);
     SpreadActions actions = spread.advance(start);
     std::erase_if(actions, [](const SpreadAction &action) { return action.kind != SpreadAction::Kind::Announce; });
-    std::set<HostId> told;
+    std::set<HostId> recipients;
     for (const SpreadAction &action : actions) {
-        told.insert(action.peer);
+        recipients.insert(action.peer);
     }
-    CHECK(told.size() == PresetSpreadOptions().announceTo);
-    CHECK_FALSE(told.contains(hostName(0)));
+    CHECK(recipients.size() == PresetSpreadOptions().announceTo);
+    CHECK_FALSE(recipients.contains(hostName(0)));
     CHECK_FALSE(has(spread.advance(start + 1ms), SpreadAction::Kind::Announce));
 }
 
-TEST_CASE("news during a read leads to another read")
+TEST_CASE("a change reported during a read leads to another read")
 {
     PresetSpread spread = settledHost();
     spread.onWatch(WatchBatch{{{presetInForceKey, 7, false}}, 7}, start + 1s);
@@ -156,10 +156,9 @@
     CHECK(has(spread.advance(start + 1s), SpreadAction::Kind::ReadPlatform));
 }
 
-// A host finds a change although the platform's events were skipped. The change is made, no watch tells of it, and
-// the small polls, which ask for events, see nothing. A watcher's polls read the object itself, every other
-// host's every so often.
-TEST_CASE("quiet polls are small, and every so often one is whole; a watcher's always are")
+// A change must be found although the platform skipped its event, so that neither watches nor peeks report it. A watcher's polls therefore read
+// the object itself; those of other hosts read it regularly and peek otherwise.
+TEST_CASE("without changes a host peeks and regularly reads the object; a watcher always reads it")
 {
     const bool watcher = GENERATE(false, true);
     PresetSpread spread = settledHost();
@@ -187,7 +186,7 @@
     CHECK(now - start > 12 * PresetSpreadOptions().pollInterval / 2);
 }
 
-TEST_CASE("a host that hears neither platform nor peers turns not ready, and ready again when it does")
+TEST_CASE("a host that receives from neither platform nor peers becomes not ready, and ready again when it does")
 {
     PresetSpread spread = settledHost();
     const Duration limit = PresetSpreadOptions().isolationLimit;
--- a/src/preset/presetswitch.cpp
+++ b/src/preset/presetswitch.cpp
@@ -1,6 +1,6 @@
-// Both decisions read first, then hand the one write that matters to a ResolvedWrite and translate its result.
-// Reads, and the history line (create-only, the same content whoever writes it), are simply repeated until
-// they are answered or time is up: neither can do harm twice.
+// Both decisions read first, then pass the main write to a ResolvedWrite and translate its result. Reads and the write of the history entry are
+// repeated until they are answered or the time limit is reached. Both are idempotent: the history entry is create-only and has the same content
+// whichever host writes it.
 
 #include "preset/presetswitch.h"
 
@@ -56,8 +56,8 @@
     return printHistoryEntry({inForce.version, inForce.operation, inForce.by, inForce.acceptedUnixMs, inForce.preset.name});
 }
 
-PresetSwitch::PresetSwitch(SwitchOrder order, ResolvedWriteLimits limits, std::uint64_t seed)
-    : m_order(std::move(order))
+PresetSwitch::PresetSwitch(SwitchRequest request, ResolvedWriteLimits limits, std::uint64_t seed)
+    : m_request(std::move(request))
     , m_limits(limits)
     , m_seed(seed)
     , m_random(seed)
@@ -68,7 +68,7 @@
 PlatformStep PresetSwitch::start(TimePoint now)
 {
     m_endBy = now + m_limits.total;
-    return read(Phase::ReadLibrary, presetLibraryPrefix + m_order.name.text());
+    return read(Phase::ReadLibrary, presetLibraryPrefix + m_request.name.text());
 }
 
 PlatformStep PresetSwitch::onRead(const PlatformResult<StoredObject> &result, TimePoint now)
@@ -77,7 +77,7 @@
         return followWrite(m_write->onRead(result, now), now);
     }
     if (result.has_error() && !isAbsent(result)) {
-        return again(PlatformStep::Kind::Get, now);
+        return retryLater(PlatformStep::Kind::Get, now);
     }
     const StoredObject *object = result.has_value() ? &result.value() : nullptr;
     switch (m_phase) {
@@ -99,8 +99,8 @@
     if (m_phase == Phase::WriteInForce) {
         return followWrite(m_write->onWritten(result, now), now);
     }
-    const bool stands = result.has_value() || result.error().kind == PlatformErrorKind::Conflict;
-    return stands ? writeInForce(now) : again(PlatformStep::Kind::Put, now);
+    const bool lineExists = result.has_value() || result.error().kind == PlatformErrorKind::Conflict;
+    return lineExists ? writeInForce(now) : retryLater(PlatformStep::Kind::Put, now);
 }
 
 PlatformStep PresetSwitch::onWaited(TimePoint now)
@@ -128,11 +128,11 @@
     return {PlatformStep::Kind::Get, Duration::zero()};
 }
 
-PlatformStep PresetSwitch::again(PlatformStep::Kind kind, TimePoint now)
+PlatformStep PresetSwitch::retryLater(PlatformStep::Kind kind, TimePoint now)
 {
     const Duration wait = m_backoff.next(m_random);
     if (now + wait >= m_endBy) {
-        // Only the last phase comes after a write that may stand.
+        // Only the last phase follows a write of the object in force that may have taken effect.
         return done(m_phase == Phase::ReadOwnHistory ? ChangeOutcome::Unresolved : ChangeOutcome::NotApplied);
     }
     m_afterWait = kind;
@@ -146,17 +146,17 @@
         m_result.faults = entry.error();
         return done(ChangeOutcome::Faulty);
     }
-    m_wanted = std::make_shared<PresetInForce>();
-    m_wanted->operation = m_order.operation;
-    m_wanted->by = m_order.by;
-    m_wanted->acceptedUnixMs = m_order.nowUnixMs;
-    m_wanted->preset = std::move(entry.value().preset);
+    m_newInForce = std::make_shared<PresetInForce>();
+    m_newInForce->operation = m_request.operation;
+    m_newInForce->by = m_request.by;
+    m_newInForce->acceptedUnixMs = m_request.nowUnixMs;
+    m_newInForce->preset = std::move(entry.value().preset);
     return read(Phase::ReadInForce, presetInForceKey);
 }
 
 PlatformStep PresetSwitch::onInForce(const StoredObject *object, TimePoint now)
 {
-    m_wanted->version = m_order.held + 1;
+    m_newInForce->version = m_request.held + 1;
     if (object == nullptr) {
         m_condition = WriteCondition::absent();
         return writeInForce(now);
@@ -164,14 +164,14 @@
     m_condition = WriteCondition::atVersion(object->version);
     const Result<PresetInForce, PresetFaults> stored = parsePresetInForce(object->value);
     if (stored.has_error()) {
-        // Unreadable content must not block operators, but a host that holds nothing cannot tell a safe version.
+        // Unreadable content must not block operators, but a host that holds no preset cannot determine a safe version.
         m_result.faults = stored.error();
-        return m_order.held == 0 ? done(ChangeOutcome::Faulty) : writeInForce(now);
+        return m_request.held == 0 ? done(ChangeOutcome::Faulty) : writeInForce(now);
     }
-    if (m_order.expected && *m_order.expected != stored.value().version) {
+    if (m_request.expected && *m_request.expected != stored.value().version) {
         return lostTo(stored.value());
     }
-    m_wanted->version = std::max(m_order.held, stored.value().version) + 1;
+    m_newInForce->version = std::max(m_request.held, stored.value().version) + 1;
     m_phase = Phase::WriteOldHistory;
     m_historyWrite = {presetHistoryKey(stored.value().version), printHistoryLineOf(stored.value()), WriteCondition::absent(), OperationId()};
     return {PlatformStep::Kind::Put, Duration::zero()};
@@ -182,7 +182,7 @@
     m_phase = Phase::WriteInForce;
     ResolvedWriteLimits limits = m_limits;
     limits.total = m_endBy - now;
-    m_write.emplace(WriteRequest{presetInForceKey, printPresetInForce(*m_wanted), m_condition, m_order.operation}, operationInForce, limits, m_seed);
+    m_write.emplace(WriteRequest{presetInForceKey, printPresetInForce(*m_newInForce), m_condition, m_request.operation}, operationInForce, limits, m_seed);
     return m_write->start(now);
 }
 
@@ -207,9 +207,9 @@
             lostTo(winner.value());
         }
     }
-    const bool mayBeReplaced = write.mayHaveApplied && m_result.winnerVersion > m_wanted->version;
+    const bool mayBeReplaced = write.mayHaveApplied && m_result.winnerVersion > m_newInForce->version;
     if (mayBeReplaced) {
-        return read(Phase::ReadOwnHistory, presetHistoryKey(m_wanted->version));
+        return read(Phase::ReadOwnHistory, presetHistoryKey(m_newInForce->version));
     }
     return done(ChangeOutcome::Lost);
 }
@@ -220,7 +220,7 @@
         return done(ChangeOutcome::Lost);
     }
     const Result<PresetHistoryEntry, PresetFaults> entry = parseHistoryEntry(object->value);
-    const bool ours = entry.has_value() && entry.value().operation == m_order.operation;
+    const bool ours = entry.has_value() && entry.value().operation == m_request.operation;
     return ours ? accepted() : done(ChangeOutcome::Lost);
 }
 
@@ -234,7 +234,7 @@
 
 PlatformStep PresetSwitch::accepted()
 {
-    m_result.accepted = m_wanted;
+    m_result.accepted = m_newInForce;
     return done(ChangeOutcome::Accepted);
 }
 
@@ -244,13 +244,13 @@
     return {PlatformStep::Kind::Done, Duration::zero()};
 }
 
-PresetApply::PresetApply(ApplyOrder order, ResolvedWriteLimits limits, std::uint64_t seed)
-    : m_order(std::move(order))
+PresetApply::PresetApply(ApplyRequest request, ResolvedWriteLimits limits, std::uint64_t seed)
+    : m_request(std::move(request))
     , m_limits(limits)
     , m_seed(seed)
     , m_random(seed)
     , m_backoff(limits.firstWait, limits.longestWait)
-    , m_key(presetLibraryPrefix + m_order.preset.name.text())
+    , m_key(presetLibraryPrefix + m_request.preset.name.text())
 {
 }
 
@@ -272,8 +272,8 @@
     const WriteCondition condition = result.has_value() ? WriteCondition::atVersion(result.value().version) : WriteCondition::absent();
     ResolvedWriteLimits limits = m_limits;
     limits.total = m_endBy - now;
-    std::string value = printLibraryPreset({m_order.operation, m_order.by, m_order.nowUnixMs, m_order.preset});
-    m_write.emplace(WriteRequest{m_key, std::move(value), condition, m_order.operation}, operationInLibrary, limits, m_seed);
+    std::string value = printLibraryPreset({m_request.operation, m_request.by, m_request.nowUnixMs, m_request.preset});
+    m_write.emplace(WriteRequest{m_key, std::move(value), condition, m_request.operation}, operationInLibrary, limits, m_seed);
     return m_write->start(now);
 }
 
@@ -296,7 +296,7 @@
     if (write.outcome == WriteOutcome::Lost && write.current) {
         const Result<LibraryPreset, PresetFaults> winner = parseLibraryPreset(write.current->value);
         m_result.winner = winner.has_value() ? winner.value().by : OperatorName();
-        m_result.winnerPreset = m_order.preset.name;
+        m_result.winnerPreset = m_request.preset.name;
     }
     return done(changeOutcome(write.outcome));
 }
--- a/src/preset/presetswitch_test.cpp
+++ b/src/preset/presetswitch_test.cpp
@@ -48,7 +48,7 @@
     return finish(decision, decision.start(start), store);
 }
 
-/** Goes on until the write of the object in force is due. */
+/** Runs the switch until it is about to write the object in force. */
 PlatformStep untilWriteInForce(PresetSwitch &decision, FakeStore &store)
 {
     PlatformStep step = decision.start(start);
@@ -60,7 +60,7 @@
 
 } // namespace
 
-TEST_CASE("a switch puts the library's preset in force and keeps the old one's history")
+TEST_CASE("a switch puts the library's preset in force and records the old one in the history")
 {
     FakeStore store = storeWith({"ordinary", "peak"});
     CHECK(runWhole(switchOf("ordinary", "ada"), store).accepted->version == 1);
@@ -71,7 +71,7 @@
     CHECK(parseHistoryEntry(store.get(presetHistoryKey(1)).value().value).value().by == OperatorName("ada"));
 }
 
-TEST_CASE("a switch that cannot be says why and changes nothing")
+TEST_CASE("a switch to a missing or faulty preset reports the reason and changes nothing")
 {
     struct Row
     {
@@ -87,9 +87,9 @@
     CHECK(store.get(presetInForceKey).has_error());
 }
 
-// Two operators switch at the same moment. First both read version 1, then both write version 2. Without the
-// condition both would be told that theirs is in force; with it one is, and the other learns by whom.
-TEST_CASE("of two operators at once exactly one is accepted and the other is told by whom", "[config-monotonic]")
+// Two operators switch at the same moment: both switches read version 1, then both write version 2. Without the write condition both would be
+// reported as in force; with it exactly one is, and the other operator learns the winner.
+TEST_CASE("of two concurrent switches exactly one is accepted and the other reports the winner", "[config-monotonic]")
 {
     FakeStore store = storeWith({"ordinary", "peak", "maintenance"});
     runWhole(switchOf("ordinary", "ada"), store);
@@ -105,7 +105,7 @@
     CHECK(lost.winnerVersion == 2);
 }
 
-TEST_CASE("an operator who saw another version loses to whoever changed it")
+TEST_CASE("a switch that expects another version is lost to the operator who changed it")
 {
     FakeStore store = storeWith({"ordinary", "peak"});
     runWhole(switchOf("ordinary", "ada"), store);
@@ -114,10 +114,9 @@
     CHECK(result.winner == OperatorName("ada"));
 }
 
-// The operator is told "accepted" although the answer was lost and a colleague replaced the change at once.
-// First the write takes effect and its answer is lost, then the colleague switches, then we read back. Without
-// the history line the operator would be told that the change never was.
-TEST_CASE("a change that was replaced before its lost answer was resolved is still known as accepted")
+// A write takes effect and its answer is lost; another operator switches before the object is read back. Without the history entry the first
+// change would be reported as lost although it was in force.
+TEST_CASE("a change that was replaced before its lost answer was resolved is still reported as accepted")
 {
     FakeStore store = storeWith({"ordinary", "peak"});
     PresetSwitch ours = switchOf("ordinary", "ada");
@@ -130,7 +129,7 @@
     CHECK(result.accepted->version == 1);
 }
 
-TEST_CASE("a switch after the platform went back takes a version above what hosts hold")
+TEST_CASE("a switch after the platform lost newer versions takes a version above those that hosts hold")
 {
     FakeStore store = storeWith({"ordinary", "peak"});
     runWhole(switchOf("ordinary", "ada"), store);
@@ -140,7 +139,7 @@
     CHECK(runWhole(switchOf("peak", "cy", 10), store).accepted->version == 11);
 }
 
-TEST_CASE("of two who apply one name at once exactly one is accepted")
+TEST_CASE("of two concurrent applies of one name exactly one is accepted")
 {
     FakeStore store;
     PresetApply first({namedPreset("peak"), OperatorName("ada"), OperationId("a"), 0}, {}, 1);
@@ -153,8 +152,8 @@
     CHECK(lost.winner == OperatorName("ada"));
 }
 
-// Several operators switch while calls are lost before or after their effect. Whatever the interleaving, each
-// version is taken once, and nobody is told "accepted" or "lost" wrongly.
+// Several operators switch while calls are lost before or after their effect. In any interleaving each version must be used once, and no switch
+// may be reported wrongly as accepted or lost.
 TEST_CASE("interleaved switches with lost calls end truthfully", "[config-monotonic]")
 {
     rc::prop("results are true, versions are unique and grow", [] {
@@ -170,16 +169,16 @@
         for (int i = 0; i < 300; ++i) {
             now += 5ms;
             const std::size_t who = *rc::gen::inRange<std::size_t>(0, switches.size());
-            const int fate = *rc::gen::inRange(0, 6);
+            const int fault = *rc::gen::inRange(0, 6);
             PresetSwitch &decision = switches[who];
             PlatformStep &step = steps[who];
             const bool call = step.kind == PlatformStep::Kind::Put || step.kind == PlatformStep::Kind::Get;
-            if (!call || fate > 1) {
+            if (!call || fault > 1) {
                 step = carryOut(decision, step, store, now);
             } else if (step.kind == PlatformStep::Kind::Get) {
                 step = decision.onRead(platformError<StoredObject>(PlatformErrorKind::Unknown), now);
             } else {
-                const bool tookEffect = fate == 1 && store.put(decision.writeRequest()).has_value();
+                const bool tookEffect = fault == 1 && store.put(decision.writeRequest()).has_value();
                 static_cast<void>(tookEffect);
                 step = decision.onWritten(platformError<ObjectVersion>(PlatformErrorKind::Unknown), now);
             }
