--- a/src/relay/httpserver.cpp
+++ b/src/relay/httpserver.cpp
@@ -80,7 +80,7 @@
     return m_sink ? m_sink->unsentBytes() : 0;
 }
 
-void HttpExchange::notifyGone()
+void HttpExchange::notifyDisconnected()
 {
     m_sink = nullptr;
     m_onDrained = nullptr;
@@ -217,7 +217,7 @@
         m_socket.shutdown(Tcp::socket::shutdown_both, ignored);
         m_socket.close(ignored);
         if (const std::shared_ptr<HttpExchange> exchange = m_exchange.lock()) {
-            exchange->notifyGone();
+            exchange->notifyDisconnected();
         }
     }
 
--- a/src/relay/relaycall.cpp
+++ b/src/relay/relaycall.cpp
@@ -32,9 +32,9 @@
     return log;
 }
 
-LifeRules rulesOf(const CallRequest &request, const RelayOptions &options, bool claimsFailing)
+RequestRules rulesOf(const CallRequest &request, const RelayOptions &options, bool claimsFailing)
 {
-    LifeRules rules;
+    RequestRules rules;
     rules.idempotent = request.rule.idempotent;
     rules.reproducible = request.rule.reproducible;
     rules.resumable = request.chat.has_value();
@@ -48,9 +48,9 @@
     return rules;
 }
 
-LifeRules adoptedRules(const RelayOptions &options)
+RequestRules adoptedRules(const RelayOptions &options)
 {
-    LifeRules rules;
+    RequestRules rules;
     rules.idempotent = false;
     rules.maxResumes = options.maxResumes;
     return rules;
@@ -135,14 +135,14 @@
 template <Clock ClockType>
 bool RelayCall<ClockType>::addReader(const std::shared_ptr<HttpExchange> &exchange, bool streaming, StreamOffset after)
 {
-    if (after < m_buffer.forgotten() || (m_end && after > m_buffer.last())) {
+    if (after < m_buffer.evicted() || (m_end && after > m_buffer.last())) {
         return false;
     }
     m_returnTimer.cancel();
     const std::shared_ptr<AnswerReader> reader = std::make_shared<AnswerReader>(exchange, streaming, after);
     m_readers.push_back(reader);
     // A reader keeps its call until it has everything: m_readers forgets it then, which ends the cycle.
-    exchange->onGone([self = this->shared_from_this()] { self->readerGone(); });
+    exchange->onDisconnected([self = this->shared_from_this()] { self->readerGone(); });
     exchange->onDrained([self = this->shared_from_this()] { self->pumpReaders(); });
     pumpReaders();
     return true;
@@ -155,7 +155,7 @@
 }
 
 template <Clock ClockType>
-void RelayCall<ClockType>::perform(LifeActions actions)
+void RelayCall<ClockType>::perform(RequestActions actions)
 {
     std::move(actions.begin(), actions.end(), std::back_inserter(m_actions));
     if (m_performing) {
@@ -164,7 +164,7 @@
     const std::shared_ptr<RelayCall> self = this->shared_from_this();
     m_performing = true;
     while (!m_actions.empty()) {
-        const LifeAction action = std::move(m_actions.front());
+        const RequestAction action = std::move(m_actions.front());
         m_actions.pop_front();
         std::visit([this](const auto &each) { this->act(each); }, action);
     }
@@ -172,7 +172,7 @@
 }
 
 template <Clock ClockType>
-void RelayCall<ClockType>::act(const AskPermit &action)
+void RelayCall<ClockType>::act(const RequestPermit &action)
 {
     m_stepStarted = ClockType::now();
     if (action.failures == 0) {
@@ -182,7 +182,7 @@
     m_telemetry.count("rhubarbwind_retries_total");
     m_delayTimer.expires_after(delayAfter(m_context->options.retryDelay, action.failures));
     m_delayTimer.async_wait([self = this->shared_from_this(), action](error_code error) {
-        const bool current = self->m_life.state() == LifeState::AwaitPermit && self->m_life.attempt() == action.attempt;
+        const bool current = self->m_life.state() == RequestState::AwaitPermit && self->m_life.attempt() == action.attempt;
         if (!error && current) {
             self->sendTicket(action);
         }
@@ -190,7 +190,7 @@
 }
 
 template <Clock ClockType>
-void RelayCall<ClockType>::sendTicket(const AskPermit &action)
+void RelayCall<ClockType>::sendTicket(const RequestPermit &action)
 {
     const TimePoint now = ClockType::now();
     Ticket ticket;
@@ -206,7 +206,7 @@
         ticket.prefixDigests = m_context->options.prefixDigests(prompt);
     }
     ticket.avoid = action.avoid;
-    m_context->ports.askPermit(m_request.shard, ticket, [self = this->shared_from_this()](const PermitAnswer &answer) { self->permitAnswered(answer); });
+    m_context->ports.requestPermit(m_request.shard, ticket, [self = this->shared_from_this()](const PermitAnswer &answer) { self->permitAnswered(answer); });
 }
 
 template <Clock ClockType>
@@ -312,7 +312,7 @@
     }
     m_delayTimer.expires_after(delayAfter(m_context->options.resumeDelay, action.tries - 1));
     m_delayTimer.async_wait([self = this->shared_from_this(), action](error_code error) {
-        if (!error && self->m_life.state() == LifeState::Resuming) {
+        if (!error && self->m_life.state() == RequestState::Resuming) {
             self->openResume(action);
         }
     });
@@ -343,7 +343,7 @@
     const std::shared_ptr<RelayCall> self = this->shared_from_this();
     ExchangeEvents events;
     events.onSending = [self, connection] {
-        if (self->m_life.state() == LifeState::Connecting) {
+        if (self->m_life.state() == RequestState::Connecting) {
             self->m_telemetry.hop(Hop::Connect, self->m_stepStarted, ClockType::now(), {{"endpoint", self->m_endpoint.text()}});
             self->m_sentAt = ClockType::now();
         }
@@ -353,7 +353,7 @@
     events.onBody = [self, connection](std::string_view bytes) { self->bodyCame(connection, bytes); };
     events.onEnd = [self, connection](ExchangeEnd how) { self->exchangeEnded(connection, how); };
     ExchangeBounds bounds = isChat() ? m_context->options.engineBounds : m_context->options.serviceBounds;
-    if (m_life.state() == LifeState::Resuming) {
+    if (m_life.state() == RequestState::Resuming) {
         bounds.firstByte = m_context->options.resumeFirstByte;
     }
     request.set(http::field::host, location->ip + ":" + std::to_string(location->port));
@@ -464,7 +464,7 @@
     constexpr unsigned conflict = 409;
     constexpr unsigned timeout = 408;
     constexpr unsigned tooMany = 429;
-    const bool resuming = m_life.state() == LifeState::Resuming;
+    const bool resuming = m_life.state() == RequestState::Resuming;
     if (header.status == 200) {
         if (resuming) {
             m_telemetry.hop(Hop::Resume, m_stepStarted, ClockType::now(), {{"endpoint", m_endpoint.text()}});
@@ -545,7 +545,7 @@
         noteToken();
         perform(m_life.token(connection, offset, ClockType::now()));
         break;
-    case OfferResult::Doubled:
+    case OfferResult::Duplicate:
         perform(m_life.token(connection, offset, ClockType::now()));
         break;
     case OfferResult::Gap:
@@ -593,20 +593,20 @@
     const std::size_t limit = m_context->options.unsentBytes;
     const std::vector<std::shared_ptr<AnswerReader>> readers = m_readers;
     bool backlogged = false;
-    StreamOffset taken = m_buffer.last();
+    StreamOffset consumed = m_buffer.last();
     for (const std::shared_ptr<AnswerReader> &reader : readers) {
         if (reader->pump(m_buffer, labels(), limit)) {
             m_life.delivered();
         }
         backlogged = backlogged || (reader->isOpen() && reader->isBacklogged(limit));
-        taken = std::min(taken, reader->isStreaming() ? reader->cursor() : m_buffer.forgotten());
+        consumed = std::min(consumed, reader->isStreaming() ? reader->cursor() : m_buffer.evicted());
         if (m_end && (!reader->isStreaming() || reader->caughtUp(m_buffer))) {
             finishReader(*reader);
         }
     }
     std::erase_if(m_readers, [](const std::shared_ptr<AnswerReader> &reader) { return !reader->isOpen(); });
     if (!readers.empty()) {
-        m_buffer.taken(taken);
+        m_buffer.consumed(consumed);
     }
     if (m_exchange) {
         if (backlogged) {
@@ -667,7 +667,7 @@
         return;
     }
     if (!m_request.resumable) {
-        perform(m_life.callerGone());
+        perform(m_life.callerDisconnected());
         return;
     }
     if (m_exchange) {
@@ -676,7 +676,7 @@
     m_returnTimer.expires_after(m_context->options.callerReturn);
     m_returnTimer.async_wait([self = this->shared_from_this()](error_code error) {
         if (!error && self->m_readers.empty()) {
-            self->perform(self->m_life.callerGone());
+            self->perform(self->m_life.callerDisconnected());
         }
     });
 }
--- a/src/relay/relaycall.h
+++ b/src/relay/relaycall.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// One request in progress: the session that carries out what its RequestLife decides.
+// One request in progress: the session that carries out what its RequestStateMachine decides.
 //
 // It asks for permits, opens exchanges with endpoints, feeds their events into the answer's buffer and lets
 // every reader follow. It keeps itself alive while it waits for anything; RelayCore holds it by request id
@@ -125,8 +125,8 @@
 private:
     using Exchange = EndpointExchange<ClockType>;
 
-    void perform(LifeActions actions);
-    void act(const AskPermit &action);
+    void perform(RequestActions actions);
+    void act(const RequestPermit &action);
     void act(const CancelTicket &action);
     void act(const MakeClaim &action);
     void act(const FinishClaim &action);
@@ -138,7 +138,7 @@
     void act(const RestartStream &action);
     void act(const Answer &action);
 
-    void sendTicket(const AskPermit &action);
+    void sendTicket(const RequestPermit &action);
     void permitAnswered(const PermitAnswer &answer);
     void openResume(const ResumeStream &action);
     typename Exchange::Request dispatchRequest(const Dispatch &action) const;
@@ -165,12 +165,12 @@
     std::shared_ptr<RelayContext<ClockType>> m_context;
     CallRequest m_request;
     TimePoint m_arrived;
-    RequestLife m_life;
+    RequestStateMachine m_life;
     StreamBuffer m_buffer;
     std::optional<AdoptedStream> m_adopted;
     StreamOffset m_adoptedAfter = 0;
 
-    std::deque<LifeAction> m_actions;
+    std::deque<RequestAction> m_actions;
     bool m_performing = false;
 
     std::shared_ptr<Exchange> m_exchange;
--- a/src/relay/relayparts_test.cpp
+++ b/src/relay/relayparts_test.cpp
@@ -120,7 +120,7 @@
                 RC_ASSERT(result == OfferResult::Appended);
                 kept[offset] = digest;
             } else if (held) {
-                RC_ASSERT(result == (kept[offset] == digest ? OfferResult::Doubled : OfferResult::Diverged));
+                RC_ASSERT(result == (kept[offset] == digest ? OfferResult::Duplicate : OfferResult::Diverged));
             } else {
                 RC_ASSERT(result == (next ? OfferResult::Full : OfferResult::Gap));
             }
@@ -136,9 +136,9 @@
     REQUIRE(buffer.offer(1, "12345", 1) == OfferResult::Appended);
     REQUIRE(buffer.offer(2, "12345", 2) == OfferResult::Appended);
     CHECK(buffer.offer(3, "12345", 3) == OfferResult::Full);
-    buffer.taken(1);
+    buffer.consumed(1);
     CHECK(buffer.offer(3, "12345", 3) == OfferResult::Appended);
-    CHECK(buffer.forgotten() == 1);
+    CHECK(buffer.evicted() == 1);
     CHECK(buffer.find(1) == nullptr);
     CHECK(buffer.offer(1, "other", 9) == OfferResult::Diverged);
 }
--- a/src/relay/requestlife.cpp
+++ b/src/relay/requestlife.cpp
@@ -59,7 +59,7 @@
 
 } // namespace
 
-RequestLife::RequestLife(LifeRules rules, RetryBudget &budget, RetryAccount account, TimePoint queueDeadline)
+RequestStateMachine::RequestStateMachine(RequestRules rules, RetryBudget &budget, RetryAccount account, TimePoint queueDeadline)
     : m_rules(rules)
     , m_budget(budget)
     , m_account(std::move(account))
@@ -67,25 +67,25 @@
 {
 }
 
-LifeActions RequestLife::start(TimePoint now)
+RequestActions RequestStateMachine::start(TimePoint now)
 {
-    LifeActions actions;
-    if (m_state != LifeState::Accepted) {
+    RequestActions actions;
+    if (m_state != RequestState::Accepted) {
         return actions;
     }
     if (m_rules.claimed && m_rules.claimFirst) {
-        m_state = LifeState::AwaitClaim;
+        m_state = RequestState::AwaitClaim;
         actions.push_back(MakeClaim{m_queueDeadline - now});
     } else {
-        askPermit(actions);
+        requestPermit(actions);
     }
     return actions;
 }
 
-LifeActions RequestLife::adopt(std::uint32_t attempt, const EndpointId &endpoint, StreamOffset after)
+RequestActions RequestStateMachine::adopt(std::uint32_t attempt, const EndpointId &endpoint, StreamOffset after)
 {
-    LifeActions actions;
-    if (m_state != LifeState::Accepted) {
+    RequestActions actions;
+    if (m_state != RequestState::Accepted) {
         return actions;
     }
     m_attempt = attempt;
@@ -98,15 +98,15 @@
     m_delivered = true;
     m_connection = 1;
     m_connectionOpen = true;
-    m_state = LifeState::Resuming;
+    m_state = RequestState::Resuming;
     actions.push_back(ResumeStream{attempt, endpoint, after, m_connection, 1});
     return actions;
 }
 
-LifeActions RequestLife::granted(const Grant &grant, TimePoint now)
+RequestActions RequestStateMachine::granted(const Grant &grant, TimePoint now)
 {
-    LifeActions actions;
-    if (m_state != LifeState::AwaitPermit || grant.id.attempt != m_attempt) {
+    RequestActions actions;
+    if (m_state != RequestState::AwaitPermit || grant.id.attempt != m_attempt) {
         // The grant of a ticket that was cancelled meanwhile goes straight back; a doubled one was released already
         // or is in use, and a second release would free a slot that is not free.
         if (grant.id.attempt == m_attempt && !m_grantTaken) {
@@ -121,7 +121,7 @@
     m_enginePriority = grant.enginePriority;
     m_permitExpires = now + grant.expiresIn;
     if (m_rules.claimed && !m_claimGranted) {
-        m_state = LifeState::AwaitClaim;
+        m_state = RequestState::AwaitClaim;
         actions.push_back(MakeClaim{std::min({m_rules.claimUnderPermit, grant.expiresIn, m_queueDeadline - now})});
     } else {
         dispatch(actions);
@@ -129,19 +129,19 @@
     return actions;
 }
 
-LifeActions RequestLife::refused(const Refusal &refusal)
+RequestActions RequestStateMachine::refused(const Refusal &refusal)
 {
-    LifeActions actions;
-    if (m_state == LifeState::AwaitPermit && refusal.id.attempt == m_attempt) {
+    RequestActions actions;
+    if (m_state == RequestState::AwaitPermit && refusal.id.attempt == m_attempt) {
         end(errorOf(refusal.reason), refusal.retryAfter, actions);
     }
     return actions;
 }
 
-LifeActions RequestLife::claimAnswered(const ClaimAnswer &answer, TimePoint now)
+RequestActions RequestStateMachine::claimAnswered(const ClaimAnswer &answer, TimePoint now)
 {
-    LifeActions actions;
-    if (m_state != LifeState::AwaitClaim) {
+    RequestActions actions;
+    if (m_state != RequestState::AwaitClaim) {
         if (ended() && m_rules.claimed && !m_claimGranted && answer.verdict == ClaimVerdict::Granted) {
             m_claimGranted = true;
             actions.push_back(FinishClaim{ClaimState::Unknown, true});
@@ -153,13 +153,13 @@
         if (m_permitHeld) {
             dispatch(actions);
         } else {
-            askPermit(actions);
+            requestPermit(actions);
         }
         return actions;
     }
     if (answer.verdict == ClaimVerdict::Repeated) {
         release(ReleaseKind::Unused, actions);
-        m_state = LifeState::Ended;
+        m_state = RequestState::Ended;
         actions.push_back(Answer{outcomeOf(answer.state), RelayError::ClaimRepeated, {}, answer});
         return actions;
     }
@@ -173,43 +173,43 @@
     return actions;
 }
 
-LifeActions RequestLife::connectFailed(ConnectionNumber connection)
+RequestActions RequestStateMachine::connectFailed(ConnectionNumber connection)
 {
-    LifeActions actions;
+    RequestActions actions;
     if (!isCurrent(connection)) {
         return actions;
     }
-    if (m_state == LifeState::Resuming) {
+    if (m_state == RequestState::Resuming) {
         resumeOrFail(RelayError::EndpointUnreachable, actions);
-    } else if (m_state == LifeState::Connecting) {
+    } else if (m_state == RequestState::Connecting) {
         failAttempt(RelayError::EndpointUnreachable, ReleaseKind::EndpointFailed, m_rules.refusedRetryAfter, actions);
     }
     return actions;
 }
 
-LifeActions RequestLife::firstByteWritten(ConnectionNumber connection, TimePoint now)
+RequestActions RequestStateMachine::firstByteWritten(ConnectionNumber connection, TimePoint now)
 {
-    LifeActions actions;
-    if (!isCurrent(connection) || m_state != LifeState::Connecting) {
+    RequestActions actions;
+    if (!isCurrent(connection) || m_state != RequestState::Connecting) {
         return actions;
     }
     if (now > m_permitExpires) {
         // The arbiter has given the slot to somebody else by now: sending would overload the endpoint.
         closeAttempt(ReleaseKind::Unused, actions);
-        askPermit(actions);
+        requestPermit(actions);
         return actions;
     }
-    m_state = LifeState::Sent;
+    m_state = RequestState::Sent;
     m_facts.sent = true;
     m_facts.sentAt = now;
     m_everSent = true;
     return actions;
 }
 
-LifeActions RequestLife::refusedNotStarted(ConnectionNumber connection, Duration retryAfter)
+RequestActions RequestStateMachine::refusedNotStarted(ConnectionNumber connection, Duration retryAfter)
 {
-    LifeActions actions;
-    if (!isCurrent(connection) || m_state != LifeState::Sent) {
+    RequestActions actions;
+    if (!isCurrent(connection) || m_state != RequestState::Sent) {
         return actions;
     }
     m_facts.confirmedNotStarted = true;
@@ -217,13 +217,13 @@
     return actions;
 }
 
-LifeActions RequestLife::endpointFailed(ConnectionNumber connection)
+RequestActions RequestStateMachine::endpointFailed(ConnectionNumber connection)
 {
-    LifeActions actions;
+    RequestActions actions;
     if (!isCurrent(connection)) {
         return actions;
     }
-    if (m_state == LifeState::Resuming) {
+    if (m_state == RequestState::Resuming) {
         resumeOrFail(RelayError::EndpointFailed, actions);
     } else {
         failAttempt(RelayError::EndpointFailed, ReleaseKind::EndpointFailed, m_rules.refusedRetryAfter, actions);
@@ -231,10 +231,10 @@
     return actions;
 }
 
-LifeActions RequestLife::endpointRejected(ConnectionNumber connection)
+RequestActions RequestStateMachine::endpointRejected(ConnectionNumber connection)
 {
-    LifeActions actions;
-    if (!isCurrent(connection) || m_state != LifeState::Sent) {
+    RequestActions actions;
+    if (!isCurrent(connection) || m_state != RequestState::Sent) {
         return actions;
     }
     closeAttempt(ReleaseKind::Completed, actions);
@@ -242,22 +242,22 @@
     return actions;
 }
 
-LifeActions RequestLife::answerBegan(ConnectionNumber connection)
+RequestActions RequestStateMachine::answerBegan(ConnectionNumber connection)
 {
-    LifeActions actions;
-    if (!isCurrent(connection) || (m_state != LifeState::Sent && m_state != LifeState::Resuming)) {
+    RequestActions actions;
+    if (!isCurrent(connection) || (m_state != RequestState::Sent && m_state != RequestState::Resuming)) {
         return actions;
     }
-    m_state = LifeState::Streaming;
+    m_state = RequestState::Streaming;
     m_facts.began = true;
     m_everBegan = true;
     return actions;
 }
 
-LifeActions RequestLife::token(ConnectionNumber connection, StreamOffset offset, TimePoint now)
+RequestActions RequestStateMachine::token(ConnectionNumber connection, StreamOffset offset, TimePoint now)
 {
-    LifeActions actions;
-    if (!isCurrent(connection) || m_state != LifeState::Streaming || offset <= m_facts.tokens) {
+    RequestActions actions;
+    if (!isCurrent(connection) || m_state != RequestState::Streaming || offset <= m_facts.tokens) {
         return actions;
     }
     if (m_facts.tokens == 0) {
@@ -271,10 +271,10 @@
     return actions;
 }
 
-LifeActions RequestLife::done(ConnectionNumber connection, StreamOffset held, std::uint32_t reusedPromptTokens)
+RequestActions RequestStateMachine::done(ConnectionNumber connection, StreamOffset held, std::uint32_t reusedPromptTokens)
 {
-    LifeActions actions;
-    if (!isCurrent(connection) || m_state != LifeState::Streaming) {
+    RequestActions actions;
+    if (!isCurrent(connection) || m_state != RequestState::Streaming) {
         return actions;
     }
     if (m_facts.tokens < held) {
@@ -285,7 +285,7 @@
     m_connectionOpen = false;
     release(ReleaseKind::Completed, actions);
     m_budget.succeeded(m_account);
-    m_state = LifeState::Ended;
+    m_state = RequestState::Ended;
     if (m_claimGranted) {
         actions.push_back(FinishClaim{ClaimState::Completed, false});
     }
@@ -293,36 +293,36 @@
     return actions;
 }
 
-LifeActions RequestLife::broken(ConnectionNumber connection)
+RequestActions RequestStateMachine::broken(ConnectionNumber connection)
 {
-    LifeActions actions;
+    RequestActions actions;
     if (isCurrent(connection)) {
         resumeOrFail(RelayError::EndpointBroken, actions);
     }
     return actions;
 }
 
-LifeActions RequestLife::silent(ConnectionNumber connection)
+RequestActions RequestStateMachine::silent(ConnectionNumber connection)
 {
-    LifeActions actions;
+    RequestActions actions;
     if (isCurrent(connection)) {
         resumeOrFail(RelayError::EndpointSilent, actions);
     }
     return actions;
 }
 
-LifeActions RequestLife::streamMissing(ConnectionNumber connection)
+RequestActions RequestStateMachine::streamMissing(ConnectionNumber connection)
 {
-    LifeActions actions;
-    if (isCurrent(connection) && m_state == LifeState::Resuming) {
+    RequestActions actions;
+    if (isCurrent(connection) && m_state == RequestState::Resuming) {
         failAttempt(RelayError::EndpointBroken, ReleaseKind::EndpointFailed, m_rules.refusedRetryAfter, actions);
     }
     return actions;
 }
 
-LifeActions RequestLife::diverged(ConnectionNumber connection)
+RequestActions RequestStateMachine::diverged(ConnectionNumber connection)
 {
-    LifeActions actions;
+    RequestActions actions;
     if (!isCurrent(connection)) {
         return actions;
     }
@@ -332,9 +332,9 @@
     return actions;
 }
 
-LifeActions RequestLife::answerTooLarge(ConnectionNumber connection)
+RequestActions RequestStateMachine::answerTooLarge(ConnectionNumber connection)
 {
-    LifeActions actions;
+    RequestActions actions;
     if (!isCurrent(connection)) {
         return actions;
     }
@@ -343,16 +343,16 @@
     return actions;
 }
 
-LifeActions RequestLife::callerGone()
+RequestActions RequestStateMachine::callerDisconnected()
 {
-    LifeActions actions;
+    RequestActions actions;
     if (ended()) {
         return actions;
     }
     if (m_facts.sent && m_rules.outlivesCaller) {
         return actions;
     }
-    if (m_state == LifeState::AwaitPermit) {
+    if (m_state == RequestState::AwaitPermit) {
         actions.push_back(CancelTicket{m_attempt});
     }
     closeAttempt(m_facts.sent ? ReleaseKind::Cancelled : ReleaseKind::Unused, actions);
@@ -360,11 +360,11 @@
     return actions;
 }
 
-LifeActions RequestLife::preempted(std::uint32_t attempt)
+RequestActions RequestStateMachine::preempted(std::uint32_t attempt)
 {
-    LifeActions actions;
+    RequestActions actions;
     // Only a request that can still be answered whole gives way: one that may not run again runs to its end.
-    if (ended() || !m_permitHeld || attempt != m_attempt || m_state == LifeState::AwaitClaim) {
+    if (ended() || !m_permitHeld || attempt != m_attempt || m_state == RequestState::AwaitClaim) {
         return actions;
     }
     if (m_facts.sent && !mayRunAgain()) {
@@ -374,13 +374,13 @@
         return actions;
     }
     closeAttempt(ReleaseKind::Cancelled, actions);
-    askPermit(actions);
+    requestPermit(actions);
     return actions;
 }
 
-LifeActions RequestLife::deadline()
+RequestActions RequestStateMachine::deadline()
 {
-    LifeActions actions;
+    RequestActions actions;
     if (ended()) {
         return actions;
     }
@@ -388,21 +388,21 @@
     if (m_facts.sent) {
         return actions;
     }
-    if (m_state == LifeState::AwaitPermit) {
+    if (m_state == RequestState::AwaitPermit) {
         actions.push_back(CancelTicket{m_attempt});
     }
     closeAttempt(ReleaseKind::Unused, actions);
-    const bool claiming = m_state == LifeState::AwaitClaim;
+    const bool claiming = m_state == RequestState::AwaitClaim;
     end(claiming ? RelayError::ClaimUnavailable : RelayError::DeadlinePassed, m_rules.refusedRetryAfter, actions);
     return actions;
 }
 
-bool RequestLife::isCurrent(ConnectionNumber connection) const
+bool RequestStateMachine::isCurrent(ConnectionNumber connection) const
 {
     return !ended() && m_connectionOpen && connection == m_connection;
 }
 
-void RequestLife::askPermit(LifeActions &actions)
+void RequestStateMachine::requestPermit(RequestActions &actions)
 {
     if (m_attempt > 0) {
         actions.push_back(RestartStream{m_delivered});
@@ -411,19 +411,19 @@
     m_grantTaken = false;
     m_facts = AttemptFacts{};
     m_resumes = 0;
-    m_state = LifeState::AwaitPermit;
-    actions.push_back(AskPermit{m_attempt, m_avoid, m_failures});
+    m_state = RequestState::AwaitPermit;
+    actions.push_back(RequestPermit{m_attempt, m_avoid, m_failures});
 }
 
-void RequestLife::dispatch(LifeActions &actions)
+void RequestStateMachine::dispatch(RequestActions &actions)
 {
-    m_state = LifeState::Connecting;
+    m_state = RequestState::Connecting;
     m_connectionOpen = true;
     ++m_connection;
     actions.push_back(Dispatch{m_attempt, m_endpoint, m_enginePriority, m_connection});
 }
 
-void RequestLife::resumeOrFail(RelayError why, LifeActions &actions)
+void RequestStateMachine::resumeOrFail(RelayError why, RequestActions &actions)
 {
     if (!m_facts.sent || !m_rules.resumable || m_resumes >= m_rules.maxResumes) {
         failAttempt(why, ReleaseKind::EndpointFailed, m_rules.refusedRetryAfter, actions);
@@ -432,29 +432,29 @@
     ++m_resumes;
     actions.push_back(DropConnection{m_connection});
     ++m_connection;
-    m_state = LifeState::Resuming;
+    m_state = RequestState::Resuming;
     actions.push_back(ResumeStream{m_attempt, m_endpoint, m_facts.tokens, m_connection, m_resumes});
 }
 
-void RequestLife::failAttempt(RelayError why, ReleaseKind kind, Duration retryAfter, LifeActions &actions)
+void RequestStateMachine::failAttempt(RelayError why, ReleaseKind kind, Duration retryAfter, RequestActions &actions)
 {
     const EndpointId endpoint = m_endpoint;
     closeAttempt(kind, actions);
     ++m_failures;
     if (takeRetry()) {
         m_avoid.push_back(endpoint);
-        askPermit(actions);
+        requestPermit(actions);
         return;
     }
     end(why, retryAfter, actions);
 }
 
-bool RequestLife::takeRetry()
+bool RequestStateMachine::takeRetry()
 {
     return !m_deadlinePassed && m_failures < m_rules.maxFailures && mayRunAgain() && m_budget.tryTake(m_account);
 }
 
-bool RequestLife::mayRunAgain() const
+bool RequestStateMachine::mayRunAgain() const
 {
     if (!m_rules.idempotent) {
         return !m_everSent;
@@ -462,7 +462,7 @@
     return !m_delivered || m_rules.reproducible;
 }
 
-void RequestLife::closeAttempt(ReleaseKind kind, LifeActions &actions)
+void RequestStateMachine::closeAttempt(ReleaseKind kind, RequestActions &actions)
 {
     if (m_connectionOpen) {
         m_connectionOpen = false;
@@ -478,7 +478,7 @@
     release(kind, actions);
 }
 
-void RequestLife::release(ReleaseKind kind, LifeActions &actions)
+void RequestStateMachine::release(ReleaseKind kind, RequestActions &actions)
 {
     if (!m_permitHeld) {
         return;
@@ -494,17 +494,17 @@
     actions.push_back(std::move(released));
 }
 
-void RequestLife::end(RelayError error, Duration retryAfter, LifeActions &actions)
+void RequestStateMachine::end(RelayError error, Duration retryAfter, RequestActions &actions)
 {
     const Outcome outcome = failureOutcome();
-    m_state = LifeState::Ended;
+    m_state = RequestState::Ended;
     if (m_claimGranted) {
         actions.push_back(FinishClaim{claimStateOf(outcome), outcome == Outcome::NotRun});
     }
     actions.push_back(Answer{outcome, error, retryAfter, std::nullopt});
 }
 
-Outcome RequestLife::failureOutcome() const
+Outcome RequestStateMachine::failureOutcome() const
 {
     if (m_everBegan) {
         return Outcome::FailedAfterStart;
--- a/src/relay/requestlife.h
+++ b/src/relay/requestlife.h
@@ -25,7 +25,7 @@
 // earlier connection are ignored, so a late answer of an earlier attempt reaches nobody.
 //
 // Claims: the permit comes first and the claim after it, so that a shed request does not use up its key.
-// While claims are known to fail the order is the other way round (LifeRules::claimFirst), so that a request
+// While claims are known to fail the order is the other way round (RequestRules::claimFirst), so that a request
 // which cannot claim holds no capacity. A claim that fails under a permit gives the permit back and turns
 // the order for this request.
 
@@ -47,7 +47,7 @@
 /** Numbers the connections to endpoints of one request, from 1. */
 using ConnectionNumber = std::uint32_t;
 
-struct LifeRules
+struct RequestRules
 {
     bool idempotent = true;
     bool reproducible = false;
@@ -61,7 +61,7 @@
     Duration refusedRetryAfter = 1s; ///< told with errors that have no better estimate
 };
 
-enum class LifeState : std::uint8_t {
+enum class RequestState : std::uint8_t {
     Accepted,
     AwaitClaim,
     AwaitPermit,
@@ -72,7 +72,7 @@
     Ended,
 };
 
-struct AskPermit
+struct RequestPermit
 {
     std::uint32_t attempt = 0;
     std::vector<EndpointId> avoid;
@@ -144,57 +144,66 @@
     std::optional<ClaimAnswer> earlier; ///< with ClaimRepeated
 };
 
-using LifeAction = std::
-    variant<AskPermit, CancelTicket, MakeClaim, FinishClaim, Dispatch, ResumeStream, DropConnection, CancelAtEndpoint, ReleasePermit, RestartStream, Answer>;
-using LifeActions = std::vector<LifeAction>;
+using RequestAction = std::variant<RequestPermit,
+                                   CancelTicket,
+                                   MakeClaim,
+                                   FinishClaim,
+                                   Dispatch,
+                                   ResumeStream,
+                                   DropConnection,
+                                   CancelAtEndpoint,
+                                   ReleasePermit,
+                                   RestartStream,
+                                   Answer>;
+using RequestActions = std::vector<RequestAction>;
 
-class RequestLife
+class RequestStateMachine
 {
 public:
     /** @param budget outlives this  @param queueDeadline when the wait for a permit ends */
-    RequestLife(LifeRules rules, RetryBudget &budget, RetryAccount account, TimePoint queueDeadline);
+    RequestStateMachine(RequestRules rules, RetryBudget &budget, RetryAccount account, TimePoint queueDeadline);
 
-    LifeActions start(TimePoint now);
+    RequestActions start(TimePoint now);
     /** In place of start(): goes on with a stream that an endpoint holds for another host's attempt. Needs no permit. */
-    LifeActions adopt(std::uint32_t attempt, const EndpointId &endpoint, StreamOffset after);
-    LifeActions granted(const Grant &grant, TimePoint now);
-    LifeActions refused(const Refusal &refusal);
-    LifeActions claimAnswered(const ClaimAnswer &answer, TimePoint now);
+    RequestActions adopt(std::uint32_t attempt, const EndpointId &endpoint, StreamOffset after);
+    RequestActions granted(const Grant &grant, TimePoint now);
+    RequestActions refused(const Refusal &refusal);
+    RequestActions claimAnswered(const ClaimAnswer &answer, TimePoint now);
 
-    LifeActions connectFailed(ConnectionNumber connection);
+    RequestActions connectFailed(ConnectionNumber connection);
     /** Reported before the first byte goes out; the session sends nothing if this connection is dropped in return. */
-    LifeActions firstByteWritten(ConnectionNumber connection, TimePoint now);
+    RequestActions firstByteWritten(ConnectionNumber connection, TimePoint now);
     /** The endpoint confirmed that it did not start this attempt. */
-    LifeActions refusedNotStarted(ConnectionNumber connection, Duration retryAfter);
+    RequestActions refusedNotStarted(ConnectionNumber connection, Duration retryAfter);
     /** A failed answer that proves nothing. */
-    LifeActions endpointFailed(ConnectionNumber connection);
+    RequestActions endpointFailed(ConnectionNumber connection);
     /** The endpoint turned the request down as wrong, which no other endpoint would do otherwise. */
-    LifeActions endpointRejected(ConnectionNumber connection);
+    RequestActions endpointRejected(ConnectionNumber connection);
     /** The endpoint's answer began. */
-    LifeActions answerBegan(ConnectionNumber connection);
+    RequestActions answerBegan(ConnectionNumber connection);
     /** An event of the stream; one that came before has no effect. */
-    LifeActions token(ConnectionNumber connection, StreamOffset offset, TimePoint now);
+    RequestActions token(ConnectionNumber connection, StreamOffset offset, TimePoint now);
     /** The end of the answer came. @param held events held of all runs; a run that ends below them diverged */
-    LifeActions done(ConnectionNumber connection, StreamOffset held, std::uint32_t reusedPromptTokens);
+    RequestActions done(ConnectionNumber connection, StreamOffset held, std::uint32_t reusedPromptTokens);
     /** The connection ended early, or its stream had a gap. */
-    LifeActions broken(ConnectionNumber connection);
-    LifeActions silent(ConnectionNumber connection);
+    RequestActions broken(ConnectionNumber connection);
+    RequestActions silent(ConnectionNumber connection);
     /** The endpoint does not hold the stream that was to be resumed. */
-    LifeActions streamMissing(ConnectionNumber connection);
-    LifeActions diverged(ConnectionNumber connection);
-    LifeActions answerTooLarge(ConnectionNumber connection);
+    RequestActions streamMissing(ConnectionNumber connection);
+    RequestActions diverged(ConnectionNumber connection);
+    RequestActions answerTooLarge(ConnectionNumber connection);
 
     /** Something of the answer was handed to the caller's socket. */
     void delivered()
     {
         m_delivered = true;
     }
-    LifeActions callerGone();
-    LifeActions preempted(std::uint32_t attempt);
+    RequestActions callerDisconnected();
+    RequestActions preempted(std::uint32_t attempt);
     /** The queue deadline has come. Has no effect on an attempt that was sent. */
-    LifeActions deadline();
+    RequestActions deadline();
 
-    LifeState state() const
+    RequestState state() const
     {
         return m_state;
     }
@@ -204,7 +213,7 @@
     }
     bool ended() const
     {
-        return m_state == LifeState::Ended;
+        return m_state == RequestState::Ended;
     }
 
 private:
@@ -223,22 +232,22 @@
     };
 
     bool isCurrent(ConnectionNumber connection) const;
-    void askPermit(LifeActions &actions);
-    void dispatch(LifeActions &actions);
-    void resumeOrFail(RelayError why, LifeActions &actions);
-    void failAttempt(RelayError why, ReleaseKind kind, Duration retryAfter, LifeActions &actions);
+    void requestPermit(RequestActions &actions);
+    void dispatch(RequestActions &actions);
+    void resumeOrFail(RelayError why, RequestActions &actions);
+    void failAttempt(RelayError why, ReleaseKind kind, Duration retryAfter, RequestActions &actions);
     bool takeRetry();
-    void closeAttempt(ReleaseKind kind, LifeActions &actions);
-    void release(ReleaseKind kind, LifeActions &actions);
-    void end(RelayError error, Duration retryAfter, LifeActions &actions);
+    void closeAttempt(ReleaseKind kind, RequestActions &actions);
+    void release(ReleaseKind kind, RequestActions &actions);
+    void end(RelayError error, Duration retryAfter, RequestActions &actions);
     Outcome failureOutcome() const;
     bool mayRunAgain() const;
 
-    LifeRules m_rules;
+    RequestRules m_rules;
     RetryBudget &m_budget;
     RetryAccount m_account;
     TimePoint m_queueDeadline;
-    LifeState m_state = LifeState::Accepted;
+    RequestState m_state = RequestState::Accepted;
     std::uint32_t m_attempt = 0;
     std::uint32_t m_failures = 0;
     std::uint32_t m_resumes = 0; ///< in a row without a new token
--- a/src/relay/requestlife_test.cpp
+++ b/src/relay/requestlife_test.cpp
@@ -59,7 +59,7 @@
 class LifeRun
 {
 public:
-    LifeRun(const LifeRules &rules, double budget)
+    LifeRun(const RequestRules &rules, double budget)
         : m_rules(rules)
         , m_budget(RetryBudgetOptions{0.1, budget, 10.0, 16})
         , m_life(rules, m_budget, RetryAccount{CustomerId("c"), ShardId("s")}, m_now + 30s)
@@ -112,12 +112,12 @@
             break;
         case 6:
             take(m_life.firstByteWritten(connection, m_now));
-            if (live && m_life.state() == LifeState::Sent && m_world.sent.insert(attemptHere).second) {
+            if (live && m_life.state() == RequestState::Sent && m_world.sent.insert(attemptHere).second) {
                 RC_ASSERT(m_now <= m_world.expires[attemptHere]);
             }
             break;
         case 7:
-            if (live && m_life.state() == LifeState::Sent) {
+            if (live && m_life.state() == RequestState::Sent) {
                 m_world.confirmedNotStarted.insert(attemptHere);
             }
             take(m_life.refusedNotStarted(connection, 1s));
@@ -133,7 +133,7 @@
             break;
         case 11: {
             StreamOffset &offset = m_world.offsets[attemptHere];
-            if (live && m_life.state() == LifeState::Streaming) {
+            if (live && m_life.state() == RequestState::Streaming) {
                 ++offset;
                 m_held = std::max(m_held, offset);
             }
@@ -141,7 +141,7 @@
             break;
         }
         case 12:
-            if (live && m_life.state() == LifeState::Streaming) {
+            if (live && m_life.state() == RequestState::Streaming) {
                 m_world.wholeEnds.insert(attemptHere);
             }
             take(m_life.done(connection, m_held, 0));
@@ -165,7 +165,7 @@
             }
             break;
         case 18:
-            take(m_life.callerGone());
+            take(m_life.callerDisconnected());
             break;
         case 19:
             take(m_life.preempted(attempt));
@@ -183,7 +183,7 @@
             take(m_life.connectFailed(m_connection));
             take(m_life.broken(m_connection));
         }
-        take(m_life.callerGone());
+        take(m_life.callerDisconnected());
     }
 
     const WorldOracle &world() const
@@ -199,27 +199,27 @@
     unsigned nextKind() const
     {
         switch (m_life.state()) {
-        case LifeState::AwaitPermit:
+        case RequestState::AwaitPermit:
             return 0;
-        case LifeState::AwaitClaim:
+        case RequestState::AwaitClaim:
             return 2;
-        case LifeState::Connecting:
+        case RequestState::Connecting:
             return 6;
-        case LifeState::Sent:
-        case LifeState::Resuming:
+        case RequestState::Sent:
+        case RequestState::Resuming:
             return 10;
         default:
             return 11;
         }
     }
 
-    void take(const LifeActions &actions)
+    void take(const RequestActions &actions)
     {
-        for (const LifeAction &action : actions) {
+        for (const RequestAction &action : actions) {
             std::visit([this](const auto &each) { note(each); }, action);
         }
     }
-    void note(const AskPermit &action)
+    void note(const RequestPermit &action)
     {
         m_attempt = action.attempt;
     }
@@ -283,10 +283,10 @@
         m_world.attemptOf[connection] = attempt;
     }
 
-    LifeRules m_rules;
+    RequestRules m_rules;
     RetryBudget m_budget;
     TimePoint m_now = TimePoint(1h);
-    RequestLife m_life;
+    RequestStateMachine m_life;
     WorldOracle m_world;
     Answer m_answer;
     std::uint32_t m_attempt = 0;
@@ -296,7 +296,7 @@
 
 struct LifeHistory
 {
-    LifeRules rules;
+    RequestRules rules;
     unsigned budget = 0;
     std::vector<LifeEvent> events;
 };
@@ -327,8 +327,8 @@
 
 rc::Gen<LifeHistory> lifeHistories()
 {
-    const rc::Gen<LifeRules> rules = rc::gen::map(rc::gen::container<std::vector<bool>>(5, rc::gen::arbitrary<bool>()), [](const std::vector<bool> &bits) {
-        LifeRules made;
+    const rc::Gen<RequestRules> rules = rc::gen::map(rc::gen::container<std::vector<bool>>(5, rc::gen::arbitrary<bool>()), [](const std::vector<bool> &bits) {
+        RequestRules made;
         made.idempotent = bits[0];
         made.reproducible = bits[0] && bits[1];
         made.resumable = bits[2];
