--- a/src/relay/relaycall.h
+++ b/src/relay/relaycall.h
@@ -12,7 +12,7 @@
 #include "relay/calltelemetry.h"
 #include "relay/chatshape.h"
 #include "relay/relayoptions.h"
-#include "relay/requestlife.h"
+#include "relay/requeststatemachine.h"
 #include "relay/sseparser.h"
 #include "relay/unusedclaims.h"
 
--- a/src/relay/requestlife.cpp
+++ b/src/relay/requeststatemachine.cpp
@@ -1,7 +1,7 @@
 // One explicit state and a handful of facts. The outcome is not a state but is derived from the facts when the
 // request ends (failureOutcome), so no path can answer more than what is known.
 
-#include "relay/requestlife.h"
+#include "relay/requeststatemachine.h"
 
 #include <algorithm>
 
--- a/src/relay/requestlife_test.cpp
+++ b/src/relay/requeststatemachine_test.cpp
@@ -1,4 +1,4 @@
-#include "relay/requestlife.h"
+#include "relay/requeststatemachine.h"
 
 #include <catch2/catch.hpp>
 #include <rapidcheck/catch.h>
