--- a/src/relay/chatshape.cpp
+++ b/src/relay/chatshape.cpp
@@ -1,5 +1,5 @@
-// Joining is a merge of JSON: text of the same path is appended, lists merge by "index", other values are
-// replaced. That covers content, reasoning, refusals and tool calls without naming each.
+// Joining chunks merges JSON: text at the same path is appended, lists are merged by "index", other values are replaced. This covers
+// content, reasoning, refusals and tool calls without listing each of them.
 
 #include "relay/chatshape.h"
 
@@ -30,7 +30,7 @@
     return !error && value.is_object() ? std::move(value.get_object()) : json::object{};
 }
 
-// A message's content is text or a list of parts, of which those with text count.
+// A message's content is a text or a list of parts, of which only those with text are used.
 void appendContent(const json::value &content, std::string &text)
 {
     if (const json::string *plain = content.if_string()) {
@@ -64,7 +64,7 @@
     return text;
 }
 
-// Text under these keys is told once, not in pieces.
+// Text under these keys arrives in one chunk and is not appended.
 bool isWholeText(std::string_view key)
 {
     return key == "role" || key == "id" || key == "type" || key == "name";
@@ -206,7 +206,7 @@
         if (!message.is_object()) {
             message = json::object{};
         }
-        message.get_object().emplace("role", "assistant"); // engines may leave it out of their chunks
+        message.get_object().emplace("role", "assistant"); // engines may omit it in their chunks
         list.push_back(std::move(choice));
     }
     return json::serialize(whole);
--- a/src/relay/endpointexchange.cpp
+++ b/src/relay/endpointexchange.cpp
@@ -1,5 +1,5 @@
-// Beast's incremental parser over a buffer_body: each read hands on what has come, so a token goes out as soon
-// as its bytes are here, whatever their chunking.
+// Uses Beast's incremental parser over a buffer_body: each read passes on the bytes that have arrived, so a token is sent without waiting
+// for further bytes, however the answer is chunked.
 
 #include "relay/endpointexchange.h"
 
@@ -26,7 +26,7 @@
 
 constexpr std::uint32_t answerHeaderBytes = 16 * 1024;
 constexpr std::size_t readBytes = std::size_t{16} * 1024;
-// Bytes of one read besides the body's: chunk framing.
+// Capacity for one read's body bytes and its chunk framing, and for the header.
 constexpr std::size_t bufferBytes = 2 * readBytes + answerHeaderBytes;
 
 bool isTrue(boost::string_view value)
@@ -43,9 +43,9 @@
     header.contentType = std::string(message[http::field::content_type]);
     const boost::string_view wait = message[http::field::retry_after];
     std::uint32_t seconds = 0;
-    constexpr std::uint32_t mostSeconds = 3600;
+    constexpr std::uint32_t maxSeconds = 3600;
     if (std::from_chars(wait.data(), wait.data() + wait.size(), seconds).ec == std::errc()) {
-        header.retryAfter = std::chrono::seconds(std::min(seconds, mostSeconds));
+        header.retryAfter = std::chrono::seconds(std::min(seconds, maxSeconds));
     }
     return header;
 }
@@ -132,7 +132,8 @@
         if (!m_open) {
             return;
         }
-        // An endpoint may refuse and close before it has read the whole body: its answer is read all the same.
+        // The result of the write is ignored: an endpoint may refuse and close before it has read the whole body, and its answer still has
+        // to be read.
         m_parser.emplace();
         m_parser->header_limit(answerHeaderBytes);
         m_parser->body_limit(boost::none);
--- a/src/relay/httpserver.cpp
+++ b/src/relay/httpserver.cpp
@@ -1,10 +1,9 @@
-// One session object a connection: read a request, hand it on, write the answer, again. While a request is
-// answered the session waits for readability and peeks one byte: end of file means that the client has gone,
-// a byte means that it has sent the next request early, which stays in the socket until its turn. Preferred
-// over a pending read, which would have to buffer pipelined requests without bound.
+// One session object per connection: it reads a request, passes it to the handler, writes the answer, and repeats. While a request is
+// answered, the session waits for readability and peeks one byte. End of file means that the client has disconnected. A byte means that it
+// has sent its next request early; it stays in the socket until that request is read. A pending read in its place would have to buffer pipelined
+// requests without bound.
 //
-// Chunks written while a write is under way are joined into one chunk, so a burst of small events costs one
-// system call.
+// Chunks written while a write is in progress are joined into one chunk, so a burst of small events costs one system call.
 
 #include "relay/httpserver.h"
 
@@ -143,7 +142,7 @@
     std::set<Connection *> m_connections;
     std::vector<std::function<void()>> m_whenEmpty;
     std::uint16_t m_port = 0;
-    std::size_t m_arrivingBytes = 0; ///< reserved for bodies that are being read
+    std::size_t m_arrivingBytes = 0; ///< reserved for bodies being received
     bool m_draining = false;
     bool m_closed = false;
 };
@@ -191,7 +190,7 @@
         });
     }
 
-    /** The client may send one more request that is under way; an idle connection ends soon. */
+    /** Shortens the timeout of an idle connection. A request that the client has already sent is still answered. */
     void startDraining()
     {
         if (m_state == State::Idle) {
@@ -281,7 +280,7 @@
 
 private:
     enum class State : std::uint8_t {
-        Idle, ///< waits for a request to begin
+        Idle, ///< waiting for a request to begin
         Reading,
         Answering,
         Closed,
@@ -443,14 +442,14 @@
         } else if (m_close || m_server->m_closed) {
             lingerAndClose();
         } else {
-            // Ends the wait of watchCaller, which would report the next request's bytes to a finished answer.
+            // Ends the wait of watchCaller(), which would otherwise take bytes of the next request as an event of the finished answer.
             error_code ignored;
             m_socket.cancel(ignored);
             readNext();
         }
     }
 
-    /** Lets the client read the answer before the reset that closing with unread input would cause. */
+    /** Gives the client time to read the answer, since closing a socket with unread input resets the connection. */
     void lingerAndClose()
     {
         error_code ignored;
@@ -495,7 +494,7 @@
     std::optional<http::response<http::empty_body>> m_header;
     std::optional<http::response_serializer<http::empty_body>> m_serializer;
     std::weak_ptr<HttpExchange> m_exchange;
-    std::string m_pending; ///< not handed to the socket yet
+    std::string m_pending; ///< not passed to the socket yet
     std::string m_chunk; ///< being written
     std::array<char, 4096> m_scratch{};
     std::uint64_t m_answers = 0;
@@ -542,7 +541,7 @@
             return;
         }
         if (error) {
-            // Out of file descriptors, most likely: accepting again at once would spin.
+            // Probably out of file descriptors; accepting again at once would spin.
             constexpr Duration acceptRetryDelay = 100ms;
             httpLog().warn("A connection could not be accepted.");
             self->m_acceptRetry.expires_after(acceptRetryDelay);
@@ -567,8 +566,8 @@
     }
 }
 
-// A connection that the kernel has completed and nobody has accepted would be reset when the listener closes,
-// and its client would see a request cut off by a planned stop.
+// Accepts the connections that the kernel has already completed. Closing the listener would reset them, and their clients would see a
+// request cut off by a planned stop.
 template <Clock ClockType>
 void HttpServer<ClockType>::Impl::acceptWaiting()
 {
@@ -613,9 +612,9 @@
     m_acceptRetry.cancel();
     const std::set<Connection *> connections = m_connections;
     for (Connection *connection : connections) {
-        const std::shared_ptr<Connection> kept = connection->weak_from_this().lock();
-        if (kept) {
-            kept->closeNow();
+        const std::shared_ptr<Connection> alive = connection->weak_from_this().lock();
+        if (alive) {
+            alive->closeNow();
         }
     }
 }
@@ -627,7 +626,7 @@
     if (!m_draining || !m_connections.empty() || m_whenEmpty.empty()) {
         return;
     }
-    // Posted: the caller may be a connection's destructor.
+    // Posted, since the caller may be the destructor of a connection.
     asio::post(m_context, [handlers = std::exchange(m_whenEmpty, {})] {
         for (const std::function<void()> &handler : handlers) {
             handler();
--- a/src/relay/relay_test.cpp
+++ b/src/relay/relay_test.cpp
@@ -30,7 +30,7 @@
     return {sseHead() + tokens(first, last) + doneEvent(), true};
 }
 
-/** What a caller gets when endpoints a and b answer by these scripts, and the permits name a, then b. */
+/** What a caller gets when endpoints a and b answer with these scripts, and the first permit is for a, the next for b. */
 struct FaultRow
 {
     std::string name;
@@ -41,12 +41,12 @@
     unsigned status;
     std::string outcome;
     std::string error; ///< type; empty: none
-    std::string content; ///< of the tokens that the caller gets, joined
+    std::string content; ///< joined text of the tokens that the caller gets
     std::size_t sendsA;
     std::size_t sendsB;
 };
 
-// Tokens in the order in which the caller got them.
+// The tokens in the order in which the caller received them.
 std::string contentOf(const std::string &body)
 {
     const std::string mark = "\"content\":\"";
@@ -72,8 +72,8 @@
     return std::string(data.at("outcome").as_string().c_str());
 }
 
-// Enough for a silence and its resumes.
-constexpr Duration mostVirtualTime = 14s;
+// Enough for one silence bound and the resumes after it.
+constexpr Duration maxVirtualTime = 14s;
 
 void checkRow(const FaultRow &row)
 {
@@ -89,13 +89,13 @@
         }
     }
     bench.permits.answers = {grantOf("a"), grantOf("b")};
-    const std::unique_ptr<Caller> caller = bench.callAdvancing(chatText({row.classId, row.stream, ""}), mostVirtualTime);
+    const std::unique_ptr<Caller> caller = bench.callAdvancing(chatText({row.classId, row.stream, ""}), maxVirtualTime);
     CHECK(caller->answer().result_int() == row.status);
     CHECK(outcomeOf(*caller) == row.outcome);
     CHECK(contentOf(caller->answer().body()) == row.content);
     const std::string error = row.error.empty() ? "\"error\"" : "\"type\":\"" + row.error + "\"";
-    const bool told = caller->answer().body().find(error) != std::string::npos;
-    CHECK(told != row.error.empty());
+    const bool reported = caller->answer().body().find(error) != std::string::npos;
+    CHECK(reported != row.error.empty());
     CHECK(endpoints["a"]->count("POST") == row.sendsA);
     CHECK(endpoints["b"]->count("POST") == row.sendsB);
     runUntilIdle(bench.io);
@@ -105,7 +105,7 @@
 
 } // namespace
 
-TEST_CASE("A stream goes from the endpoint to its caller, and the arbiter hears how it went", "[relay][whole-answer]")
+TEST_CASE("A stream is delivered to its caller and its result is reported to the arbiter", "[relay][whole-answer]")
 {
     Bench bench;
     ScriptedEndpoint engine(bench.io, {whole(1, 3)});
@@ -121,7 +121,7 @@
     CHECK(engine.requests()[0].find("\"priority\":3") != std::string::npos);
 }
 
-TEST_CASE("A caller that asked for no stream gets one whole answer", "[relay][whole-answer]")
+TEST_CASE("A caller that requested no stream gets one whole answer", "[relay][whole-answer]")
 {
     Bench bench;
     ScriptedEndpoint engine(bench.io, {whole(1, 3)});
@@ -133,15 +133,14 @@
     CHECK(caller->answer().body().find("\"role\":\"assistant\"") != std::string::npos);
 }
 
-// The caller sees an answer that is cut, doubled or made of two. The endpoint's connection is refused, breaks,
-// falls silent, overlaps or jumps, before or after the first token. The rest of the stream is asked for over a
-// new connection, and only what follows the last offset is taken; a new run starts only while nothing was
-// delivered or the class says that runs are equal.
+// Guards against an answer that is truncated, has duplicates or is composed of two: the connection to the endpoint is refused, breaks, goes
+// silent, overlaps or skips events, before or after the first token. The rest of the stream is requested over a new connection, and only
+// what follows the last offset is used. A new run starts only if nothing was delivered or the class is declared reproducible.
 TEST_CASE("Faults of an endpoint's connection leave a whole answer or a truthful error", "[relay][whole-answer]")
 {
     const std::string head = sseHead();
     const std::vector<FaultRow> rows{
-        {"frozen in mid-stream",
+        {"silent in mid-stream, stream not resumed",
          "quick",
          true,
          {silent(head + tokens(1, 2)), silent("")},
@@ -152,7 +151,7 @@
          "t1t2",
          1,
          0},
-        {"frozen in mid-stream, nothing delivered yet",
+        {"silent in mid-stream, stream not resumed, nothing delivered yet",
          "quick",
          false,
          {silent(head + tokens(1, 2)), silent("")},
@@ -167,7 +166,7 @@
         {"connection refused, then another endpoint", "quick", true, {}, {whole(1, 2)}, 200, "completed", "", "t1t2", 0, 1},
         {"broken in mid-stream, resumed", "quick", true, {broken(head + tokens(1, 2)), whole(3, 4)}, {}, 200, "completed", "", "t1t2t3t4", 1, 0},
         {"resumed with an overlap", "quick", true, {broken(head + tokens(1, 3)), whole(2, 4)}, {}, 200, "completed", "", "t1t2t3t4", 1, 0},
-        {"resumed with a gap, then right",
+        {"resumed with a gap, then without",
          "quick",
          true,
          {broken(head + tokens(1, 2)), whole(4, 5), whole(3, 5)},
@@ -178,8 +177,8 @@
          "t1t2t3t4t5",
          1,
          0},
-        {"doubled events", "quick", true, {{head + tokens(1, 2) + tokens(2, 2) + tokens(1, 3) + doneEvent()}}, {}, 200, "completed", "", "t1t2t3", 1, 0},
-        {"a cut event is not passed on",
+        {"duplicate events", "quick", true, {{head + tokens(1, 2) + tokens(2, 2) + tokens(1, 3) + doneEvent()}}, {}, 200, "completed", "", "t1t2t3", 1, 0},
+        {"a truncated event is not passed on",
          "quick",
          true,
          {broken(head + tokens(1, 1) + "id: 2\ndata: {\"cho"), whole(2, 2)},
@@ -191,7 +190,7 @@
          1,
          0},
         {"silent in mid-stream, resumed", "quick", true, {silent(head + tokens(1, 2)), whole(3, 3)}, {}, 200, "completed", "", "t1t2t3", 1, 0},
-        {"gone in mid-stream",
+        {"broken in mid-stream, stream not held",
          "quick",
          true,
          {broken(head + tokens(1, 2)), missing()},
@@ -202,7 +201,7 @@
          "t1t2",
          1,
          0},
-        {"gone in mid-stream, nothing delivered yet",
+        {"broken in mid-stream, stream not held, nothing delivered yet",
          "quick",
          false,
          {broken(head + tokens(1, 2)), missing()},
@@ -213,8 +212,8 @@
          "t1t2t3",
          1,
          1},
-        {"gone before the first token", "quick", true, {broken(""), missing()}, {whole(1, 2)}, 200, "completed", "", "t1t2", 1, 1},
-        {"gone, runs are equal: run again and checked",
+        {"broken before the first token, stream not held", "quick", true, {broken(""), missing()}, {whole(1, 2)}, 200, "completed", "", "t1t2", 1, 1},
+        {"stream not held, runs are equal: run again and compared",
          "same",
          true,
          {broken(head + tokens(1, 2)), missing()},
@@ -225,7 +224,7 @@
          "t1t2t3t4",
          1,
          1},
-        {"gone, the second run differs",
+        {"stream not held, the second run differs",
          "same",
          true,
          {broken(head + tokens(1, 2)), missing()},
@@ -236,7 +235,7 @@
          "t1t2",
          1,
          1},
-        {"gone, the second run is shorter",
+        {"stream not held, the second run is shorter",
          "same",
          true,
          {broken(head + tokens(1, 2)), missing()},
@@ -248,7 +247,7 @@
          1,
          1},
         {"refused, then another endpoint", "quick", true, {{notStarted("503 Busy")}}, {whole(1, 2)}, 200, "completed", "", "t1t2", 1, 1},
-        {"the request itself is wrong",
+        {"the request itself is invalid",
          "quick",
          true,
          {{plainAnswer("400 Bad Request", "Content-Type: application/json\r\n", "{\"why\":1}")}},
@@ -265,9 +264,9 @@
     }
 }
 
-// The caller is told "not run" of a quote that ran, or the quote runs twice. The endpoint gets the bytes and
-// then its connection breaks, falls silent or carries a failure that proves nothing. What may not be repeated
-// is sent once; only a confirmed refusal, or no byte sent at all, is told as not run.
+// Guards against a not-run answer for a request that ran, and against running it twice: the endpoint receives the bytes, then its
+// connection breaks, goes silent or carries a failure that does not show whether the request ran. A request that may not be repeated is
+// sent once. It is reported as not run only after a confirmed refusal, or if no byte was sent.
 TEST_CASE("A request that may not be repeated is sent once and its outcome is what is known", "[relay][truthful-not-run][at-most-once]")
 {
     const std::string head = sseHead();
@@ -276,21 +275,21 @@
         {"no connection: nothing was sent, so another endpoint may get it", "quote", true, {}, {whole(1, 1)}, 200, "completed", "", "t1", 0, 1},
         {"no connection anywhere", "quote", true, {}, {}, 503, "not-run", "endpoint_unreachable", "", 0, 0},
         {"refused by contract", "quote", true, {{notStarted("429 Busy")}}, {whole(1, 1)}, 503, "not-run", "endpoint_refused", "", 1, 0},
-        {"a refusal without the contract's word",
+        {"a refusal without X-Not-Started", "quote", true, {{plainAnswer("503 Busy", "", "{}")}}, {whole(1, 1)}, 502, "unknown", "endpoint_failed", "", 1, 0},
+        {"broken before any answer", "quote", true, {broken(""), missing()}, {whole(1, 1)}, 502, "unknown", "endpoint_broken", "", 1, 0},
+        {"broken before any answer, but the endpoint holds the stream", "quote", true, {broken(""), whole(1, 2)}, {}, 200, "completed", "", "t1t2", 1, 0},
+        {"broken in mid-stream, stream not held",
          "quote",
-         true,
-         {{plainAnswer("503 Busy", "", "{}")}},
-         {whole(1, 1)},
+         false,
+         {broken(head + tokens(1, 2)), missing()},
+         {whole(1, 2)},
          502,
-         "unknown",
-         "endpoint_failed",
+         "failed-after-start",
+         "endpoint_broken",
          "",
          1,
          0},
-        {"broken before any answer", "quote", true, {broken(""), missing()}, {whole(1, 1)}, 502, "unknown", "endpoint_broken", "", 1, 0},
-        {"broken before any answer, but the endpoint holds the stream", "quote", true, {broken(""), whole(1, 2)}, {}, 200, "completed", "", "t1t2", 1, 0},
-        {"gone in mid-stream", "quote", false, {broken(head + tokens(1, 2)), missing()}, {whole(1, 2)}, 502, "failed-after-start", "endpoint_broken", "", 1, 0},
-        {"the network doubled our send: the first copy runs",
+        {"the network duplicated our send: the first copy runs",
          "quote",
          true,
          {{notStarted("409 Conflict")}, whole(1, 2)},
@@ -301,7 +300,7 @@
          "t1t2",
          1,
          0},
-        {"the network doubled our send, and the first copy is lost",
+        {"the network duplicated our send, and the first copy is lost",
          "quote",
          true,
          {{notStarted("409 Conflict")}, missing()},
@@ -318,9 +317,9 @@
     }
 }
 
-// The firm pays for tokens that nobody reads. The caller closes its connection in mid-stream; the engine would
-// go on without a reader. It is told to stop, the permit goes back, and what it made is counted.
-TEST_CASE("A caller that has gone cancels its run", "[relay]")
+// Guards against paying for tokens that nobody reads: the caller closes its connection in mid-stream and the engine would continue. The run
+// is cancelled at the engine, the permit is released, and the generated tokens are counted as wasted.
+TEST_CASE("A caller that disconnects cancels its run", "[relay]")
 {
     ManualClock::reset();
     Bench bench;
@@ -337,7 +336,7 @@
     CHECK(bench.permits.releases[0].kind == ReleaseKind::Cancelled);
 }
 
-TEST_CASE("A caller that has gone while queued gives its place back", "[relay]")
+TEST_CASE("A caller that disconnects while queued leaves the queue", "[relay]")
 {
     Bench bench;
     Caller caller(bench.io, bench.relay.port(), chatText({}));
@@ -371,7 +370,7 @@
     }
 }
 
-TEST_CASE("A queue deadline that the arbiter does not answer is kept by this host", "[relay][truthful-not-run]")
+TEST_CASE("The host enforces a queue deadline that the arbiter does not answer", "[relay][truthful-not-run]")
 {
     ManualClock::reset();
     Bench bench;
@@ -381,8 +380,8 @@
     CHECK(bench.permits.cancelled.size() == 1);
 }
 
-// The customer gets two licences for one order. It repeats the request with its key, because the first answer
-// was slow or lost. The second request finds the first one's claim: it follows that answer, or is told its state.
+// Guards against running an order twice: the customer repeats the request with its key, because the first answer was slow or lost. The
+// second request finds the claim of the first one and follows its answer, or gets its state.
 TEST_CASE("A repeat with the same key never runs", "[relay][at-most-once]")
 {
     ManualClock::reset();
@@ -391,7 +390,7 @@
     ScriptedEndpoint engine(bench.io, {whole(1, 2)});
     bench.endpoints["a"] = engine.port();
     bench.permits.answers = {grantOf("a")};
-    SECTION("joined where this host holds the answer")
+    SECTION("joined if this host holds the answer")
     {
         const std::unique_ptr<Caller> first = bench.call(text);
         const std::unique_ptr<Caller> second = bench.call(text);
@@ -401,7 +400,7 @@
         CHECK(engine.count("POST") == 1);
         CHECK(bench.permits.releases.size() == 2);
     }
-    SECTION("told the state where another host holds it")
+    SECTION("gets the state if another host holds it")
     {
         for (const auto &[state, outcome] : {std::pair(ClaimState::Completed, "completed"),
                                              std::pair(ClaimState::InProgress, "unknown"),
@@ -417,7 +416,7 @@
         }
         CHECK(engine.count("POST") == 0);
     }
-    SECTION("goes on when its caller has gone, and the repeat gets the answer")
+    SECTION("continues after its caller disconnects, and the repeat gets the answer")
     {
         ScriptedEndpoint slow(bench.io, {silent(sseHead() + tokens(1, 2)), whole(3, 3)});
         bench.endpoints["a"] = slow.port();
@@ -432,7 +431,7 @@
     }
 }
 
-// The customer orders something else under an old key by mistake. It must not get the other order's answer.
+// Guards against delivering the answer of another order: the customer uses an old key for a different request by mistake.
 TEST_CASE("A key that was used for another request joins nothing", "[relay][whole-answer][at-most-once]")
 {
     Bench bench;
@@ -445,8 +444,8 @@
     CHECK(engine.count("POST") == 1);
 }
 
-// The caller is told "not run" and asks again as it was told, with the same key. The first request had claimed
-// the key before its endpoint refused; nothing ran, so the repeat may run, once.
+// Guards against a key that is used up by a request that did not run: the first request claimed the key, then its endpoint refused. The
+// caller repeats it with the same key after the not-run answer. The repeat may run, once.
 TEST_CASE("A key is not used up by a request that did not run", "[relay][at-most-once][truthful-not-run]")
 {
     Bench bench;
@@ -462,8 +461,8 @@
     CHECK(outcomeOf(*third) == "completed");
 }
 
-// The platform is down. A request with a key cannot be claimed, so it must not run; it waits until its deadline
-// without a permit, and is told truthfully. Requests without a key go on.
+// The platform is down, so a request with a key cannot be claimed and must not run. It waits until its deadline without a permit and gets a
+// not-run answer. Requests without a key continue.
 TEST_CASE("Without claims a request with a key does not run and holds no permit", "[relay][at-most-once][truthful-not-run]")
 {
     ManualClock::reset();
@@ -482,7 +481,7 @@
     CHECK(engine.count("POST") == 1);
 }
 
-TEST_CASE("A plain service's answer is passed on under the same truth", "[relay][truthful-not-run][at-most-once]")
+TEST_CASE("A plain service's answer is passed on with a truthful outcome", "[relay][truthful-not-run][at-most-once]")
 {
     struct Row
     {
@@ -519,8 +518,8 @@
     }
 }
 
-// The caller loses its connection, not its answer. It comes back with the number of the last event that it
-// got, to this host or to another one while the endpoint still holds the stream.
+// Guards against losing the answer with the connection: the caller returns with the id of the last event it received, to this host or to
+// another one while the endpoint still holds the stream.
 TEST_CASE("A caller resumes its stream through any host", "[relay][whole-answer]")
 {
     ManualClock::reset();
@@ -557,7 +556,7 @@
     }
 }
 
-TEST_CASE("A caller that said it may come back is awaited, then given up", "[relay]")
+TEST_CASE("The run of a resumable caller is cancelled if the caller does not return", "[relay]")
 {
     ManualClock::reset();
     Bench bench;
@@ -574,7 +573,7 @@
     CHECK(bench.permits.releases.size() == 1);
 }
 
-TEST_CASE("A preempted request runs again if it still can, and runs on if it cannot", "[relay][whole-answer]")
+TEST_CASE("A preempted request runs again if it may, and otherwise continues", "[relay][whole-answer]")
 {
     ManualClock::reset();
     Bench bench;
@@ -598,7 +597,7 @@
     CHECK(bench.permits.tickets[1].id.attempt == 2);
 }
 
-TEST_CASE("Bad input gets a typed refusal and harms nobody else", "[relay]")
+TEST_CASE("Bad input gets a typed refusal and affects no other request", "[relay]")
 {
     struct Row
     {
@@ -635,8 +634,8 @@
     CHECK(outcomeOf(*bench.call(chatText({}))) == "completed");
 }
 
-// Somebody else's caller sees its answer fail. Bytes that are no HTTP, or an engine that sends rubbish, end in a
-// typed answer of their own request and change nothing else.
+// Guards against one caller's input affecting another caller's answer: bytes that are not HTTP, or an engine that sends invalid data, only
+// result in a typed answer of their own request.
 TEST_CASE("Arbitrary bytes from callers stop nothing", "[relay]")
 {
     ManualClock::reset();
@@ -678,9 +677,9 @@
     });
 }
 
-// The host runs out of memory. A caller stops reading while its engine goes on; the engine is read no further
-// once the caller's backlog is full, and the caller still gets every token when it reads again.
-TEST_CASE("A caller that stops reading holds its engine back and loses nothing", "[relay][whole-answer]")
+// Guards against unbounded memory: a caller stops reading while its engine continues. Reading from the engine pauses once the backlog of
+// the caller is full, and the caller still gets every token when it reads again.
+TEST_CASE("A caller that stops reading pauses its engine and loses nothing", "[relay][whole-answer]")
 {
     ManualClock::reset();
     RelayOptions options;
@@ -720,7 +719,7 @@
     CHECK(caller->header("Retry-After") == "1");
 }
 
-TEST_CASE("Bodies in arrival are bounded over all connections", "[relay]")
+TEST_CASE("Bodies being received are bounded over all connections", "[relay]")
 {
     RelayOptions options;
     options.http.arrivingBytes = 1000;
@@ -734,9 +733,9 @@
     CHECK(bench.call(httpText("POST /v1/chat/completions", classLine, std::string(200, 'a')))->answer().result_int() == 400);
 }
 
-// A planned stop cuts off a stream, or a request that waits. The listener closes while one streams and one is
-// queued; both must end whole, also when the order to stop comes twice, before the host reports that it is empty.
-TEST_CASE("Drain ends what runs and what waits, then reports once", "[relay][graceful-shutdown]")
+// Guards against a planned stop that cuts off a running stream or a queued request: the listener closes while one request streams and one
+// is queued. Both must finish before the host reports that it is empty, also if the drain is requested twice.
+TEST_CASE("Drain finishes running and queued requests, then reports once", "[relay][graceful-shutdown]")
 {
     ManualClock::reset();
     Bench bench;
@@ -748,7 +747,7 @@
     bench.permits.answers.clear();
     Caller queued(bench.io, bench.relay.port(), chatText({}));
     runUntil(bench.io, [&] { return bench.permits.waiting.size() == 1; });
-    // Complete in the kernel, not accepted yet.
+    // Completed in the kernel, not accepted yet.
     Caller arriving(bench.io, bench.relay.port(), chatText({}));
     int reports = 0;
     bench.relay.drain([&] { ++reports; });
@@ -775,7 +774,7 @@
     CHECK(reports == 1);
 }
 
-TEST_CASE("An endpoint that says it is leaving is reported", "[relay][endpoint-drain]")
+TEST_CASE("An endpoint that announces its draining is reported", "[relay][endpoint-drain]")
 {
     Bench bench;
     ScriptedEndpoint engine(bench.io, {{"HTTP/1.1 200 OK\r\nX-Draining: true\r\nConnection: close\r\n\r\n" + tokens(1, 1) + doneEvent()}});
@@ -787,7 +786,7 @@
     CHECK(leaving == std::vector<EndpointId>{EndpointId("a")});
 }
 
-TEST_CASE("A request leaves a span a hop in its caller's trace", "[relay]")
+TEST_CASE("A request records one span per hop in its caller's trace", "[relay]")
 {
     Bench bench;
     ScriptedEndpoint engine(bench.io, {whole(1, 2)});
--- a/src/relay/relaybench_test.h
+++ b/src/relay/relaybench_test.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// What the relay's session tests share: a relay over fake ports, scripted endpoints and plain callers.
+// Shared by the relay's session tests: a relay over fake ports, scripted endpoints and plain callers.
 
 #include "base/digest.h"
 #include "relay/relay.h"
@@ -23,7 +23,7 @@
 namespace http = boost::beast::http;
 using Tcp = asio::ip::tcp;
 
-/** Runs the context until the condition holds. The bound is reached by a hang only. */
+/** Runs the context until the condition holds. Only a hang reaches the time limit. */
 template <class Condition>
 void runUntil(asio::io_context &io, Condition condition)
 {
@@ -35,9 +35,9 @@
     }
 }
 
-/** The same, while the manual clock moves whenever nothing is ready, by at most `most` in all. */
+/** The same, but advances the manual clock whenever nothing is ready, by at most `maxAdvance` in total. */
 template <class Condition>
-void runUntilAdvancing(asio::io_context &io, Duration most, Condition condition)
+void runUntilAdvancing(asio::io_context &io, Duration maxAdvance, Condition condition)
 {
     constexpr Duration step = 20ms;
     Duration passed{};
@@ -46,14 +46,14 @@
         REQUIRE(std::chrono::steady_clock::now() < end);
         io.restart();
         const bool idle = io.run_one_for(std::chrono::milliseconds(1)) == 0;
-        if (idle && passed < most) {
+        if (idle && passed < maxAdvance) {
             passed += step;
             ManualClock::advance(step);
         }
     }
 }
 
-/** Runs until nothing has happened for a while: for showing that something does not happen, or happens no further. */
+/** Runs until nothing has happened for a while, to show that something does not happen or has stopped. */
 inline void runUntilIdle(asio::io_context &io)
 {
     constexpr std::chrono::milliseconds quiet(20);
@@ -69,14 +69,14 @@
     return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/** What an endpoint does with one connection: sends these bytes, then closes, or stays open in silence. */
+/** What an endpoint does with one connection: sends these bytes, then closes it or leaves it open without sending more. */
 struct Script
 {
     std::string bytes;
     bool close = true;
 };
 
-/** An endpoint that answers each connection by script; the last script repeats. */
+/** An endpoint that answers each connection with the next script; the last script repeats. */
 class ScriptedEndpoint
 {
 public:
@@ -97,7 +97,7 @@
         m_port = port();
         m_acceptor.close();
     }
-    /** How many requests began with this text. */
+    /** The number of requests that began with this text. */
     std::size_t count(std::string_view start) const
     {
         return static_cast<std::size_t>(
@@ -235,7 +235,7 @@
 public:
     void claim(const ClaimKey &key, const RequestId &request, Duration, ClaimHandler onAnswer)
     {
-        asked.push_back(key);
+        requested.push_back(key);
         if (!available) {
             onAnswer({ClaimVerdict::Unavailable, {}, {}, {}});
             return;
@@ -249,7 +249,7 @@
     }
 
     bool available = true;
-    std::vector<ClaimKey> asked;
+    std::vector<ClaimKey> requested;
     std::map<ClaimKey, RequestId> holders;
     std::map<ClaimKey, ClaimState> states;
 };
@@ -273,10 +273,10 @@
     {
         m_socket.open(Tcp::v4());
         if (!reads) {
-            m_socket.set_option(asio::socket_base::receive_buffer_size(8192)); // so that the kernel holds little of the answer
+            m_socket.set_option(asio::socket_base::receive_buffer_size(8192)); // so that the kernel buffers little of the answer
         }
         m_socket.connect(Tcp::endpoint(asio::ip::make_address("127.0.0.1"), port));
-        boost::system::error_code ignored; // the relay may have answered and closed before it read everything
+        boost::system::error_code ignored; // the relay may answer and close before it has read everything
         asio::write(m_socket, asio::buffer(m_request), ignored);
         if (reads) {
             read();
@@ -406,11 +406,11 @@
         return caller;
     }
 
-    /** The same, with the clock moving: for waits before retries, and for silence. */
-    std::unique_ptr<Caller> callAdvancing(const std::string &request, Duration most)
+    /** The same, but advances the clock, for waits before retries and for silence. */
+    std::unique_ptr<Caller> callAdvancing(const std::string &request, Duration maxAdvance)
     {
         std::unique_ptr<Caller> caller = std::make_unique<Caller>(io, relay.port(), request);
-        runUntilAdvancing(io, most, [&] { return caller->closed(); });
+        runUntilAdvancing(io, maxAdvance, [&] { return caller->closed(); });
         return caller;
     }
 
--- a/src/relay/relaycall.cpp
+++ b/src/relay/relaycall.cpp
@@ -1,5 +1,5 @@
-// Actions are carried out in order from one queue: a port that answers at once adds to the queue's end in
-// place of recursing, so an event never overtakes the actions of the one before it.
+// Actions are performed in order from one queue. If a port answers synchronously, its actions are appended to the queue instead of being
+// performed recursively, so an event never overtakes the actions of the previous one.
 
 #include "relay/relaycall.h"
 
@@ -21,8 +21,8 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-constexpr std::uint32_t bytesPerToken = 4; // a common rule of thumb; the arbiter corrects it at release
-constexpr std::uint32_t progressEvery = 16; // tokens; spares the arbiter's link a message for each one
+constexpr std::uint32_t bytesPerToken = 4; // a common estimate; the arbiter corrects it at release
+constexpr std::uint32_t progressEvery = 16; // tokens; avoids one message to the arbiter per token
 constexpr std::size_t maxRejectionBytes = std::size_t{64} * 1024;
 constexpr std::uint32_t maxDoublings = 6;
 
@@ -40,7 +40,7 @@
     rules.resumable = request.chat.has_value();
     rules.claimed = !request.claimKey.empty();
     rules.claimFirst = claimsFailing;
-    // A run that may not be repeated is worth finishing: its caller may ask for it again by its key.
+    // A run that may not be repeated is finished, since its caller may request the answer again with its key.
     rules.outlivesCaller = rules.claimed || (!rules.idempotent && !rules.resumable);
     rules.maxFailures = options.maxFailures;
     rules.maxResumes = options.maxResumes;
@@ -56,13 +56,13 @@
     return rules;
 }
 
-// What an engine tells of a cancelled stream; zero when it tells nothing.
+// The token count that an engine reports for a cancelled stream; zero if it reports none.
 std::uint32_t cancelledTokens(std::string_view body)
 {
     boost::json::error_code error;
     const boost::json::value value = boost::json::parse(body, error);
-    const boost::json::value *told = !error && value.is_object() ? value.get_object().if_contains("tokens") : nullptr;
-    const std::uint32_t tokens = told ? told->to_number<std::uint32_t>(error) : 0;
+    const boost::json::value *reported = !error && value.is_object() ? value.get_object().if_contains("tokens") : nullptr;
+    const std::uint32_t tokens = reported ? reported->to_number<std::uint32_t>(error) : 0;
     return error ? 0 : tokens;
 }
 
@@ -73,10 +73,10 @@
     : m_context(std::move(context))
     , m_request(std::move(request))
     , m_arrived(m_request.received)
-    , m_life(rulesOf(m_request, m_context->options, m_context->claimsFailing),
-             m_context->retryBudget,
-             RetryAccount{m_request.customer, m_request.shard},
-             m_arrived + m_request.rule.queueDeadline)
+    , m_stateMachine(rulesOf(m_request, m_context->options, m_context->claimsFailing),
+                     m_context->retryBudget,
+                     RetryAccount{m_request.customer, m_request.shard},
+                     m_arrived + m_request.rule.queueDeadline)
     , m_buffer(m_context->options.answer)
     , m_claimHolder(m_request.id)
     , m_telemetry(m_context->metrics, m_context->spans, m_context->host, m_request.id, m_request.rule, m_request.trace, m_arrived)
@@ -92,7 +92,7 @@
     : m_context(std::move(context))
     , m_request(std::move(request))
     , m_arrived(m_request.received)
-    , m_life(adoptedRules(m_context->options), m_context->retryBudget, RetryAccount{m_request.customer, m_request.shard}, TimePoint::max())
+    , m_stateMachine(adoptedRules(m_context->options), m_context->retryBudget, RetryAccount{m_request.customer, m_request.shard}, TimePoint::max())
     , m_buffer(m_context->options.answer, after)
     , m_adopted(std::move(stream))
     , m_adoptedAfter(after)
@@ -124,12 +124,12 @@
 {
     accountMemory();
     if (m_adopted) {
-        perform(m_life.adopt(m_adopted->attempt, m_adopted->endpoint, m_adoptedAfter));
+        perform(m_stateMachine.adopt(m_adopted->attempt, m_adopted->endpoint, m_adoptedAfter));
         return;
     }
     m_telemetry.hop(Hop::Accept, m_arrived, ClockType::now(), {{"customer", m_request.customer.text()}, {"class", m_request.rule.name.text()}});
     armDeadline();
-    perform(m_life.start(m_arrived));
+    perform(m_stateMachine.start(m_arrived));
 }
 
 template <Clock ClockType>
@@ -141,8 +141,8 @@
     m_returnTimer.cancel();
     const std::shared_ptr<AnswerReader> reader = std::make_shared<AnswerReader>(exchange, streaming, after);
     m_readers.push_back(reader);
-    // A reader keeps its call until it has everything: m_readers forgets it then, which ends the cycle.
-    exchange->onDisconnected([self = this->shared_from_this()] { self->readerGone(); });
+    // A reader keeps its call alive until it has received everything. It is then removed from m_readers, which breaks the reference cycle.
+    exchange->onDisconnected([self = this->shared_from_this()] { self->readerDisconnected(); });
     exchange->onDrained([self = this->shared_from_this()] { self->pumpReaders(); });
     pumpReaders();
     return true;
@@ -151,7 +151,7 @@
 template <Clock ClockType>
 void RelayCall<ClockType>::preempted(std::uint32_t attempt)
 {
-    perform(m_life.preempted(attempt));
+    perform(m_stateMachine.preempted(attempt));
 }
 
 template <Clock ClockType>
@@ -182,7 +182,7 @@
     m_telemetry.count("rhubarbwind_retries_total");
     m_delayTimer.expires_after(delayAfter(m_context->options.retryDelay, action.failures));
     m_delayTimer.async_wait([self = this->shared_from_this(), action](error_code error) {
-        const bool current = self->m_life.state() == RequestState::AwaitPermit && self->m_life.attempt() == action.attempt;
+        const bool current = self->m_stateMachine.state() == RequestState::AwaitPermit && self->m_stateMachine.attempt() == action.attempt;
         if (!error && current) {
             self->sendTicket(action);
         }
@@ -213,15 +213,15 @@
 void RelayCall<ClockType>::permitAnswered(const PermitAnswer &answer)
 {
     const TimePoint now = ClockType::now();
-    const TimePoint asked = std::exchange(m_stepStarted, now);
+    const TimePoint requested = std::exchange(m_stepStarted, now);
     if (const Refusal *refusal = std::get_if<Refusal>(&answer)) {
-        m_telemetry.hop(Hop::Queue, asked, now, {{"refused", std::to_string(static_cast<int>(refusal->reason))}});
-        perform(m_life.refused(*refusal));
+        m_telemetry.hop(Hop::Queue, requested, now, {{"refused", std::to_string(static_cast<int>(refusal->reason))}});
+        perform(m_stateMachine.refused(*refusal));
         return;
     }
     const Grant &grant = std::get<Grant>(answer);
-    m_telemetry.queued(asked, now, {{"endpoint", grant.endpoint.text()}, {"epoch", std::to_string(grant.epoch)}});
-    perform(m_life.granted(grant, now));
+    m_telemetry.queued(requested, now, {{"endpoint", grant.endpoint.text()}, {"epoch", std::to_string(grant.epoch)}});
+    perform(m_stateMachine.granted(grant, now));
 }
 
 template <Clock ClockType>
@@ -242,22 +242,22 @@
         if (answer.verdict == ClaimVerdict::Repeated && self->takeUnusedClaim(answer.holder)) {
             answer.verdict = ClaimVerdict::Granted;
         }
-        self->perform(self->m_life.claimAnswered(answer, ClockType::now()));
+        self->perform(self->m_stateMachine.claimAnswered(answer, ClockType::now()));
     });
 }
 
-// An earlier claim of this very request whose answer was lost, or one of this host under which nothing was run.
+// True if the claim is an earlier one of this request whose answer was lost, or one of this host under which nothing was run.
 template <Clock ClockType>
 bool RelayCall<ClockType>::takeUnusedClaim(const RequestId &holder)
 {
     if (holder == m_request.id) {
         return true;
     }
-    if (m_life.ended() || !m_context->unusedClaims.take(m_request.claimKey, holder)) {
+    if (m_stateMachine.ended() || !m_context->unusedClaims.take(m_request.claimKey, holder)) {
         return false;
     }
     m_claimHolder = holder;
-    // A later repeat is told of the holder by the ledger; its not-run would be untrue from now on.
+    // The ledger will send later repeats to this holder. Its not-run answer is no longer true, so lookups must find this call instead.
     m_context->onTakeOver(this->shared_from_this(), holder);
     return true;
 }
@@ -312,7 +312,7 @@
     }
     m_delayTimer.expires_after(delayAfter(m_context->options.resumeDelay, action.tries - 1));
     m_delayTimer.async_wait([self = this->shared_from_this(), action](error_code error) {
-        if (!error && self->m_life.state() == RequestState::Resuming) {
+        if (!error && self->m_stateMachine.state() == RequestState::Resuming) {
             self->openResume(action);
         }
     });
@@ -334,7 +334,7 @@
 {
     const std::optional<EndpointLocation> location = m_context->findEndpoint(endpoint);
     if (!location) {
-        perform(m_life.connectFailed(connection));
+        perform(m_stateMachine.connectFailed(connection));
         return;
     }
     m_parser = SseParser();
@@ -343,17 +343,17 @@
     const std::shared_ptr<RelayCall> self = this->shared_from_this();
     ExchangeEvents events;
     events.onSending = [self, connection] {
-        if (self->m_life.state() == RequestState::Connecting) {
+        if (self->m_stateMachine.state() == RequestState::Connecting) {
             self->m_telemetry.hop(Hop::Connect, self->m_stepStarted, ClockType::now(), {{"endpoint", self->m_endpoint.text()}});
             self->m_sentAt = ClockType::now();
         }
-        self->perform(self->m_life.firstByteWritten(connection, ClockType::now()));
+        self->perform(self->m_stateMachine.firstByteWritten(connection, ClockType::now()));
     };
-    events.onHeader = [self, connection](const EndpointHeader &header) { self->headerCame(connection, header); };
-    events.onBody = [self, connection](std::string_view bytes) { self->bodyCame(connection, bytes); };
+    events.onHeader = [self, connection](const EndpointHeader &header) { self->headerReceived(connection, header); };
+    events.onBody = [self, connection](std::string_view bytes) { self->bodyReceived(connection, bytes); };
     events.onEnd = [self, connection](ExchangeEnd how) { self->exchangeEnded(connection, how); };
     ExchangeBounds bounds = isChat() ? m_context->options.engineBounds : m_context->options.serviceBounds;
-    if (m_life.state() == RequestState::Resuming) {
+    if (m_stateMachine.state() == RequestState::Resuming) {
         bounds.firstByte = m_context->options.resumeFirstByte;
     }
     request.set(http::field::host, location->ip + ":" + std::to_string(location->port));
@@ -431,13 +431,13 @@
         m_exchange->cancel();
         m_exchange = nullptr;
     }
-    m_earlier = action.earlier;
+    m_earlierClaim = action.earlierClaim;
     m_end = AnswerEnd{action.outcome, action.error, action.retryAfter};
     m_telemetry.ended(ClockType::now(), action.outcome, action.error, isChat() ? m_buffer.last() : 0, !m_adopted);
     if (action.outcome != Outcome::Completed) {
         callLog().info("Request ended " + std::string(outcomeName(action.outcome)) + ": " + std::string(relayErrorInfo(action.error).type) + ".", m_request.id);
     }
-    if (m_earlier && m_context->joinEarlier(*this, m_earlier->holder)) {
+    if (m_earlierClaim && m_context->joinEarlier(*this, m_earlierClaim->holder)) {
         m_readers.clear();
     }
     pumpReaders();
@@ -445,66 +445,66 @@
 }
 
 template <Clock ClockType>
-void RelayCall<ClockType>::headerCame(ConnectionNumber connection, const EndpointHeader &header)
+void RelayCall<ClockType>::headerReceived(ConnectionNumber connection, const EndpointHeader &header)
 {
     if (header.draining && m_context->onDraining) {
         m_context->onDraining(m_endpoint);
     }
     m_header = header;
     if (isChat()) {
-        engineHeaderCame(connection, header);
+        engineHeaderReceived(connection, header);
     } else {
-        serviceHeaderCame(connection, header);
+        serviceHeaderReceived(connection, header);
     }
 }
 
 template <Clock ClockType>
-void RelayCall<ClockType>::engineHeaderCame(ConnectionNumber connection, const EndpointHeader &header)
+void RelayCall<ClockType>::engineHeaderReceived(ConnectionNumber connection, const EndpointHeader &header)
 {
     constexpr unsigned conflict = 409;
     constexpr unsigned timeout = 408;
     constexpr unsigned tooMany = 429;
-    const bool resuming = m_life.state() == RequestState::Resuming;
+    const bool resuming = m_stateMachine.state() == RequestState::Resuming;
     if (header.status == 200) {
         if (resuming) {
             m_telemetry.hop(Hop::Resume, m_stepStarted, ClockType::now(), {{"endpoint", m_endpoint.text()}});
         }
-        perform(m_life.answerBegan(connection));
+        perform(m_stateMachine.answerBegan(connection));
     } else if (resuming) {
-        perform(header.status == 404 ? m_life.streamMissing(connection) : m_life.endpointFailed(connection));
+        perform(header.status == 404 ? m_stateMachine.streamMissing(connection) : m_stateMachine.endpointFailed(connection));
     } else if (header.status == conflict) {
-        // The engine holds this very attempt: the network doubled our send, and the first copy may be running.
-        // "Not started" is true of the copy only, so the stream is sought in place of believing it.
-        perform(m_life.broken(connection));
+        // The engine already holds this attempt: the network duplicated our send, and the first copy may be running. The "not started"
+        // header applies to the duplicate only, so the relay tries to resume the stream instead of treating the attempt as not started.
+        perform(m_stateMachine.broken(connection));
     } else if (header.notStarted) {
-        perform(m_life.refusedNotStarted(connection, std::max<Duration>(header.retryAfter, 1s)));
+        perform(m_stateMachine.refusedNotStarted(connection, std::max<Duration>(header.retryAfter, 1s)));
     } else if (header.status >= 400 && header.status < 500 && header.status != timeout && header.status != tooMany) {
         m_rejected = true;
     } else {
-        perform(m_life.endpointFailed(connection));
+        perform(m_stateMachine.endpointFailed(connection));
     }
 }
 
 template <Clock ClockType>
-void RelayCall<ClockType>::serviceHeaderCame(ConnectionNumber connection, const EndpointHeader &header)
+void RelayCall<ClockType>::serviceHeaderReceived(ConnectionNumber connection, const EndpointHeader &header)
 {
     constexpr unsigned conflict = 409;
     if (header.notStarted && header.status != conflict) {
-        perform(m_life.refusedNotStarted(connection, std::max<Duration>(header.retryAfter, 1s)));
+        perform(m_stateMachine.refusedNotStarted(connection, std::max<Duration>(header.retryAfter, 1s)));
     } else if (header.status >= 500 || header.notStarted || !header.framed) {
-        perform(m_life.endpointFailed(connection));
+        perform(m_stateMachine.endpointFailed(connection));
     } else {
-        perform(m_life.answerBegan(connection));
+        perform(m_stateMachine.answerBegan(connection));
     }
 }
 
 template <Clock ClockType>
-void RelayCall<ClockType>::bodyCame(ConnectionNumber connection, std::string_view bytes)
+void RelayCall<ClockType>::bodyReceived(ConnectionNumber connection, std::string_view bytes)
 {
     if (!isChat() || m_rejected) {
         const std::size_t limit = m_rejected ? maxRejectionBytes : m_context->options.answer.maxBytes;
         if (m_serviceBody.size() + bytes.size() > limit) {
-            perform(m_rejected ? m_life.endpointRejected(connection) : m_life.answerTooLarge(connection));
+            perform(m_rejected ? m_stateMachine.endpointRejected(connection) : m_stateMachine.answerTooLarge(connection));
             return;
         }
         m_serviceBody.append(bytes);
@@ -515,26 +515,26 @@
     const bool fits = m_parser.feed(bytes, events).has_value();
     const std::shared_ptr<Exchange> exchange = m_exchange;
     for (SseEvent &event : events) {
-        // Dropped while its events were handled: the rest is of a connection that no longer counts.
-        if (m_exchange != exchange || m_life.ended()) {
+        // The connection was dropped while its events were processed; its remaining events no longer count.
+        if (m_exchange != exchange || m_stateMachine.ended()) {
             return;
         }
-        eventCame(connection, std::move(event));
+        eventReceived(connection, std::move(event));
     }
     accountMemory();
     if (!fits && m_exchange == exchange) {
-        perform(m_life.answerTooLarge(connection));
+        perform(m_stateMachine.answerTooLarge(connection));
         return;
     }
     pumpReaders();
 }
 
 template <Clock ClockType>
-void RelayCall<ClockType>::eventCame(ConnectionNumber connection, SseEvent event)
+void RelayCall<ClockType>::eventReceived(ConnectionNumber connection, SseEvent event)
 {
     if (event.data == chatDone) {
         const std::string *last = m_buffer.find(m_buffer.last());
-        perform(m_life.done(connection, m_buffer.last(), last ? cachedTokens(*last) : 0));
+        perform(m_stateMachine.done(connection, m_buffer.last(), last ? cachedTokens(*last) : 0));
         return;
     }
     StreamOffset offset = 0;
@@ -542,31 +542,31 @@
     const std::uint64_t digest = m_request.rule.reproducible ? choicesDigest(event.data) : std::hash<std::string>()(event.data);
     switch (m_buffer.offer(offset, std::move(event.data), digest)) {
     case OfferResult::Appended:
-        noteToken();
-        perform(m_life.token(connection, offset, ClockType::now()));
+        recordToken();
+        perform(m_stateMachine.token(connection, offset, ClockType::now()));
         break;
     case OfferResult::Duplicate:
-        perform(m_life.token(connection, offset, ClockType::now()));
+        perform(m_stateMachine.token(connection, offset, ClockType::now()));
         break;
     case OfferResult::Gap:
-        perform(m_life.broken(connection));
+        perform(m_stateMachine.broken(connection));
         break;
     case OfferResult::Diverged:
-        perform(m_life.diverged(connection));
+        perform(m_stateMachine.diverged(connection));
         break;
     case OfferResult::Full:
-        perform(m_life.answerTooLarge(connection));
+        perform(m_stateMachine.answerTooLarge(connection));
         break;
     }
 }
 
 template <Clock ClockType>
-void RelayCall<ClockType>::noteToken()
+void RelayCall<ClockType>::recordToken()
 {
     m_telemetry.token(m_sentAt, ClockType::now(), m_endpoint);
     if (!m_adopted && m_buffer.last() >= m_lastProgress + progressEvery) {
         m_lastProgress = m_buffer.last();
-        m_context->ports.progress(m_request.shard, attemptId(m_life.attempt()), m_lastProgress);
+        m_context->ports.progress(m_request.shard, attemptId(m_stateMachine.attempt()), m_lastProgress);
     }
 }
 
@@ -574,16 +574,16 @@
 void RelayCall<ClockType>::exchangeEnded(ConnectionNumber connection, ExchangeEnd how)
 {
     if (how == ExchangeEnd::ConnectFailed) {
-        perform(m_life.connectFailed(connection));
+        perform(m_stateMachine.connectFailed(connection));
     } else if (m_rejected) {
-        perform(m_life.endpointRejected(connection));
+        perform(m_stateMachine.endpointRejected(connection));
     } else if (how == ExchangeEnd::Silent) {
-        perform(m_life.silent(connection));
+        perform(m_stateMachine.silent(connection));
     } else if (how == ExchangeEnd::Whole && !isChat()) {
         m_telemetry.wholeBody(ClockType::now());
-        perform(m_life.done(connection, 0, 0));
+        perform(m_stateMachine.done(connection, 0, 0));
     } else {
-        perform(m_life.broken(connection));
+        perform(m_stateMachine.broken(connection));
     }
 }
 
@@ -596,7 +596,7 @@
     StreamOffset consumed = m_buffer.last();
     for (const std::shared_ptr<AnswerReader> &reader : readers) {
         if (reader->pump(m_buffer, labels(), limit)) {
-            m_life.delivered();
+            m_stateMachine.delivered();
         }
         backlogged = backlogged || (reader->isOpen() && reader->isBacklogged(limit));
         consumed = std::min(consumed, reader->isStreaming() ? reader->cursor() : m_buffer.evicted());
@@ -623,7 +623,7 @@
     if (!reader.isOpen()) {
         return;
     }
-    if (reader.isStreaming() && m_end->error != RelayError::EndpointRejected && !m_earlier) {
+    if (reader.isStreaming() && m_end->error != RelayError::EndpointRejected && !m_earlierClaim) {
         reader.finishStream(*m_end, labels());
     } else {
         reader.respond(wholeAnswer(), labels());
@@ -643,8 +643,8 @@
     }
     if (m_end->error != RelayError::None) {
         HttpResponse response = errorResponse(m_end->error, m_end->outcome, m_request.id, m_end->retryAfter);
-        if (m_earlier) {
-            response.set("X-Rhubarbwind-Earlier-Request", m_earlier->holder.text());
+        if (m_earlierClaim) {
+            response.set("X-Rhubarbwind-Earlier-Request", m_earlierClaim->holder.text());
         }
         return response;
     }
@@ -660,14 +660,14 @@
 }
 
 template <Clock ClockType>
-void RelayCall<ClockType>::readerGone()
+void RelayCall<ClockType>::readerDisconnected()
 {
     std::erase_if(m_readers, [](const std::shared_ptr<AnswerReader> &reader) { return !reader->isOpen(); });
-    if (!m_readers.empty() || m_life.ended()) {
+    if (!m_readers.empty() || m_stateMachine.ended()) {
         return;
     }
     if (!m_request.resumable) {
-        perform(m_life.callerDisconnected());
+        perform(m_stateMachine.callerDisconnected());
         return;
     }
     if (m_exchange) {
@@ -676,7 +676,7 @@
     m_returnTimer.expires_after(m_context->options.callerReturn);
     m_returnTimer.async_wait([self = this->shared_from_this()](error_code error) {
         if (!error && self->m_readers.empty()) {
-            self->perform(self->m_life.callerDisconnected());
+            self->perform(self->m_stateMachine.callerDisconnected());
         }
     });
 }
@@ -687,7 +687,7 @@
     m_deadlineTimer.expires_after(m_request.rule.queueDeadline + m_context->options.deadlineGrace);
     m_deadlineTimer.async_wait([self = this->shared_from_this()](error_code error) {
         if (!error) {
-            self->perform(self->m_life.deadline());
+            self->perform(self->m_stateMachine.deadline());
         }
     });
 }
--- a/src/relay/relaycall.h
+++ b/src/relay/relaycall.h
@@ -1,10 +1,9 @@
 #pragma once
 
-// One request in progress: the session that carries out what its RequestStateMachine decides.
+// One request in progress: the session that carries out the decisions of its RequestStateMachine.
 //
-// It asks for permits, opens exchanges with endpoints, feeds their events into the answer's buffer and lets
-// every reader follow. It keeps itself alive while it waits for anything; RelayCore holds it by request id
-// until its answer need not be held any more.
+// It requests permits, opens exchanges with endpoints, stores their events in the answer's buffer and lets every reader follow. It keeps
+// itself alive while it waits for anything. RelayCore finds it by request id as long as its answer has to be held.
 
 #include "base/random.h"
 #include "base/sessiontimer.h"
@@ -31,7 +30,7 @@
 template <Clock ClockType>
 class RelayCall;
 
-/** What every call of a host shares. */
+/** State shared by all calls of a host. */
 template <Clock ClockType>
 struct RelayContext
 {
@@ -49,32 +48,32 @@
     bool claimsFailing = false;
     std::size_t memoryBytes = 0; ///< held by all calls
     std::function<void(RelayCall<ClockType> &)> onEnded = {};
-    /** The call runs under the claim of an earlier request that did not run: whoever finds that one is to find this one. */
+    /** The call took over the claim of an earlier request that did not run: lookups of that request must now find this call. */
     std::function<void(const std::shared_ptr<RelayCall<ClockType>> &call, const RequestId &holder)> onTakeOver = {};
-    /** An earlier request holds the claim: true if its answer is held here and the reader now follows it. */
+    /** An earlier request holds the claim. True if its answer is held on this host and the readers now follow it. */
     std::function<bool(const RelayCall<ClockType> &repeat, const RequestId &holder)> joinEarlier = {};
 };
 
-/** What a caller asked for. */
+/** A request as received from a caller. */
 struct CallRequest
 {
     RequestId id;
     CustomerId customer;
     ClassRule rule;
     ShardId shard;
-    std::optional<ChatRequest> chat; ///< none: a plain service call
+    std::optional<ChatRequest> chat; ///< empty: a plain service call
     std::string servicePath;
     std::string contentType;
     std::string body; ///< of a service call
-    ClaimKey claimKey; ///< empty: none
-    std::string contentDigest; ///< of path and body, with a claim key: the same key with other content is another request
+    ClaimKey claimKey; ///< empty: no claim
+    std::string contentDigest; ///< of path and body, set with a claim key: the same key with different content is another request
     TimePoint received;
-    bool resumable = false; ///< a caller that goes away is awaited
+    bool resumable = false; ///< wait for the caller to return if it disconnects
     TraceContext trace;
-    std::size_t bytes = 0; ///< that the request holds in memory
+    std::size_t bytes = 0; ///< memory held by the request
 };
 
-/** A stream that an endpoint holds for an attempt of another host. */
+/** A stream that an endpoint holds for an attempt made by another host. */
 struct AdoptedStream
 {
     RequestId request;
@@ -87,7 +86,7 @@
 {
 public:
     RelayCall(std::shared_ptr<RelayContext<ClockType>> context, CallRequest request);
-    /** The rest of a stream, after an offset. */
+    /** Delivers the remainder of a stream, after an offset. */
     RelayCall(std::shared_ptr<RelayContext<ClockType>> context, CallRequest request, AdoptedStream stream, StreamOffset after);
 
     ~RelayCall();
@@ -95,7 +94,7 @@
     RelayCall &operator=(const RelayCall &) = delete;
 
     void start();
-    /** Lets one more connection follow the answer. False if the events after the offset are not held any more. */
+    /** Lets one more connection follow the answer. False if the events after the offset are no longer held. */
     bool addReader(const std::shared_ptr<HttpExchange> &exchange, bool streaming, StreamOffset after);
     void preempted(std::uint32_t attempt);
 
@@ -103,7 +102,7 @@
     {
         return m_request;
     }
-    /** The request that holds the claim, as the ledger knows it: this one, or one that it took over from. */
+    /** The request that holds the claim in the ledger: this one, or the one whose claim it took over. */
     const RequestId &claimHolder() const
     {
         return m_claimHolder;
@@ -114,9 +113,9 @@
     }
     bool ended() const
     {
-        return m_life.ended();
+        return m_stateMachine.ended();
     }
-    /** The readers that a call which joins an earlier one brings with it. */
+    /** The connections that follow the answer. When this call joins an earlier one, they are moved there. */
     const std::vector<std::shared_ptr<AnswerReader>> &readers() const
     {
         return m_readers;
@@ -143,20 +142,20 @@
     void openResume(const ResumeStream &action);
     typename Exchange::Request dispatchRequest(const Dispatch &action) const;
     void open(ConnectionNumber connection, const EndpointId &endpoint, typename Exchange::Request request);
-    void headerCame(ConnectionNumber connection, const EndpointHeader &header);
-    void engineHeaderCame(ConnectionNumber connection, const EndpointHeader &header);
-    void serviceHeaderCame(ConnectionNumber connection, const EndpointHeader &header);
-    void bodyCame(ConnectionNumber connection, std::string_view bytes);
-    void eventCame(ConnectionNumber connection, SseEvent event);
+    void headerReceived(ConnectionNumber connection, const EndpointHeader &header);
+    void engineHeaderReceived(ConnectionNumber connection, const EndpointHeader &header);
+    void serviceHeaderReceived(ConnectionNumber connection, const EndpointHeader &header);
+    void bodyReceived(ConnectionNumber connection, std::string_view bytes);
+    void eventReceived(ConnectionNumber connection, SseEvent event);
     void exchangeEnded(ConnectionNumber connection, ExchangeEnd how);
     bool takeUnusedClaim(const RequestId &holder);
-    void noteToken();
+    void recordToken();
     void accountMemory();
 
     void pumpReaders();
     void finishReader(AnswerReader &reader);
     HttpResponse wholeAnswer() const;
-    void readerGone();
+    void readerDisconnected();
     void armDeadline();
     AttemptId attemptId(std::uint32_t attempt) const;
     AnswerLabels labels() const;
@@ -165,7 +164,7 @@
     std::shared_ptr<RelayContext<ClockType>> m_context;
     CallRequest m_request;
     TimePoint m_arrived;
-    RequestStateMachine m_life;
+    RequestStateMachine m_stateMachine;
     StreamBuffer m_buffer;
     std::optional<AdoptedStream> m_adopted;
     StreamOffset m_adoptedAfter = 0;
@@ -175,15 +174,15 @@
 
     std::shared_ptr<Exchange> m_exchange;
     SseParser m_parser;
-    bool m_rejected = false; ///< the body that comes is the endpoint's reason for turning the request down
-    EndpointHeader m_header; ///< of the answer in hand
+    bool m_rejected = false; ///< the body being received is the endpoint's reason for rejecting the request
+    EndpointHeader m_header; ///< of the current answer
     std::string m_serviceBody;
     std::string m_streamLabel;
     EndpointId m_endpoint;
 
     std::vector<std::shared_ptr<AnswerReader>> m_readers;
     std::optional<AnswerEnd> m_end;
-    std::optional<ClaimAnswer> m_earlier;
+    std::optional<ClaimAnswer> m_earlierClaim;
     RequestId m_claimHolder;
     CallTelemetry m_telemetry;
 
--- a/src/relay/relaycore.cpp
+++ b/src/relay/relaycore.cpp
@@ -56,7 +56,7 @@
     return given ? std::move(given).value() : freshTrace();
 }
 
-// The text of X-Rhubarbwind-Stream: <request>.<attempt>@<endpoint>.
+// Parses the value of X-Rhubarbwind-Stream: <request>.<attempt>@<endpoint>.
 std::optional<AdoptedStream> readStreamLabel(std::string_view label)
 {
     const std::size_t dot = label.find('.');
@@ -139,7 +139,7 @@
     std::size_t m_running = 0;
     std::uint64_t m_started = 0;
     bool m_draining = false;
-    bool m_connectionsGone = false;
+    bool m_connectionsClosed = false;
 
 private:
     struct Held
@@ -161,11 +161,11 @@
     bool join(const Call &repeat, const RequestId &holder);
     void callEnded(Call &call);
     void sweep();
-    void forgetOldest();
+    void evictOldest();
     void checkEmpty();
 
     std::deque<Held> m_held;
-    TimePoint m_handledAt; ///< when the request in hand came
+    TimePoint m_handledAt; ///< when the current request arrived
     SessionTimer<ClockType> m_sweepTimer;
     bool m_sweeping = false;
     std::vector<std::function<void()>> m_whenEmpty;
@@ -202,7 +202,7 @@
     return customer;
 }
 
-// Everything that chat and service requests share; answers the caller itself when something is wrong.
+// Reads what chat and service requests have in common. Answers the caller itself if something is wrong.
 template <Clock ClockType>
 std::optional<CallRequest> RelayCore<ClockType>::Impl::readCommon(const HttpRequest &request, const Exchange &exchange)
 {
@@ -253,7 +253,7 @@
     }
     call->shard = ShardId(chat.value().model);
     call->chat = std::move(chat).value();
-    // The parsed body and the prompt's text are held besides each other.
+    // The parsed body and the text of the prompt are both held in memory.
     call->bytes *= 2;
     const bool streaming = call->chat->stream;
     startCall(std::make_shared<Call>(m_context, std::move(*call)), exchange, streaming, 0);
@@ -316,7 +316,7 @@
     }
 }
 
-// Another host's stream: the attempt's id is a random secret that only its caller was told.
+// Continues another host's stream. The attempt's id is a random secret that only its caller received.
 template <Clock ClockType>
 void RelayCore<ClockType>::Impl::adopt(const HttpRequest &request, const Exchange &exchange, const CustomerId &customer, StreamOffset after)
 {
@@ -345,7 +345,7 @@
 {
     const auto found = m_calls.find(holder);
     if (found == m_calls.end() || found->second->request().contentDigest != repeat.request().contentDigest) {
-        // Not held here, or the key was used for something else: that answer is not this request's.
+        // The earlier answer is not held here, or the key was used for a different request, whose answer does not belong to this one.
         return false;
     }
     const std::vector<std::shared_ptr<AnswerReader>> &readers = repeat.readers();
@@ -366,14 +366,14 @@
         m_held.push_back({until, call.claimHolder()});
     }
     while (m_held.size() > m_context->options.heldAnswers || (!m_held.empty() && m_context->memoryBytes > m_context->options.memoryBytes / 2)) {
-        forgetOldest();
+        evictOldest();
     }
     sweep();
     checkEmpty();
 }
 
 template <Clock ClockType>
-void RelayCore<ClockType>::Impl::forgetOldest()
+void RelayCore<ClockType>::Impl::evictOldest()
 {
     const auto found = m_calls.find(m_held.front().id);
     m_held.pop_front();
@@ -386,7 +386,7 @@
 void RelayCore<ClockType>::Impl::sweep()
 {
     while (!m_held.empty() && m_held.front().until <= ClockType::now()) {
-        forgetOldest();
+        evictOldest();
     }
     if (m_held.empty() || std::exchange(m_sweeping, true)) {
         return;
@@ -410,7 +410,7 @@
     if (!std::exchange(m_draining, true)) {
         m_server->drain([weak = this->weak_from_this()] {
             if (const std::shared_ptr<Impl> self = weak.lock()) {
-                self->m_connectionsGone = true;
+                self->m_connectionsClosed = true;
                 self->checkEmpty();
             }
         });
@@ -421,7 +421,7 @@
 template <Clock ClockType>
 void RelayCore<ClockType>::Impl::checkEmpty()
 {
-    if (!m_draining || !m_connectionsGone || m_running > 0) {
+    if (!m_draining || !m_connectionsClosed || m_running > 0) {
         return;
     }
     for (std::function<void()> &handler : std::exchange(m_whenEmpty, {})) {
--- a/src/relay/relayparts_test.cpp
+++ b/src/relay/relayparts_test.cpp
@@ -24,7 +24,7 @@
     return events;
 }
 
-// Pieces that the format gives a meaning to, so that fields, comments and cut lines arise often, and other bytes.
+// Pieces that have a meaning in the format, so that fields, comments and truncated lines are frequent, mixed with other bytes.
 rc::Gen<std::string> sseLikeText()
 {
     const rc::Gen<std::string> piece =
@@ -41,8 +41,8 @@
 
 } // namespace
 
-// The caller sees a token doubled, lost or cut. The network splits the endpoint's bytes anywhere, also inside a
-// CRLF or a field name.
+// Guards against duplicate, lost or truncated tokens: the network splits the bytes of the endpoint anywhere, also inside a CRLF or a field
+// name.
 TEST_CASE("Events do not depend on how their bytes are split", "[relay][whole-answer]")
 {
     rc::prop("any bytes, any split", [] {
@@ -103,34 +103,34 @@
     CHECK(events.empty());
 }
 
-// The caller sees a token twice, or a hole. The endpoint sends events doubled, late and with jumps, over
-// connections that overlap.
+// Guards against duplicate or missing tokens: the endpoint sends events twice, late and with jumps, over connections that overlap.
 TEST_CASE("A stream's events are kept once each and without a hole", "[relay][whole-answer]")
 {
     rc::prop("against a map", [] {
         StreamBuffer buffer({200, 1000});
-        std::map<StreamOffset, std::uint64_t> kept;
+        std::map<StreamOffset, std::uint64_t> expected;
         const auto offers = *rc::gen::container<std::vector<std::pair<unsigned, unsigned>>>(rc::gen::pair(rc::gen::inRange(0U, 8U), rc::gen::inRange(0U, 3U)));
         for (const auto &[back, digest] : offers) {
-            const StreamOffset offset = static_cast<StreamOffset>(kept.size()) + 3 - std::min<StreamOffset>(back, static_cast<StreamOffset>(kept.size()) + 3);
-            const bool next = offset == kept.size() + 1;
-            const bool held = kept.count(offset) == 1;
+            const StreamOffset offset =
+                static_cast<StreamOffset>(expected.size()) + 3 - std::min<StreamOffset>(back, static_cast<StreamOffset>(expected.size()) + 3);
+            const bool next = offset == expected.size() + 1;
+            const bool held = expected.count(offset) == 1;
             const OfferResult result = buffer.offer(offset, "12345", digest);
-            if (next && kept.size() < 40) {
+            if (next && expected.size() < 40) {
                 RC_ASSERT(result == OfferResult::Appended);
-                kept[offset] = digest;
+                expected[offset] = digest;
             } else if (held) {
-                RC_ASSERT(result == (kept[offset] == digest ? OfferResult::Duplicate : OfferResult::Diverged));
+                RC_ASSERT(result == (expected[offset] == digest ? OfferResult::Duplicate : OfferResult::Diverged));
             } else {
                 RC_ASSERT(result == (next ? OfferResult::Full : OfferResult::Gap));
             }
-            RC_ASSERT(buffer.last() == kept.size());
+            RC_ASSERT(buffer.last() == expected.size());
             RC_ASSERT(buffer.bytes() <= 200U);
         }
     });
 }
 
-TEST_CASE("Room is made only of events that every reader has taken", "[relay]")
+TEST_CASE("Only events that every reader has consumed are evicted", "[relay]")
 {
     StreamBuffer buffer({10, 1000});
     REQUIRE(buffer.offer(1, "12345", 1) == OfferResult::Appended);
@@ -143,8 +143,8 @@
     CHECK(buffer.offer(1, "other", 9) == OfferResult::Diverged);
 }
 
-// The endpoint is flooded when it comes back. It is down, each of many requests fails, and each failure would
-// be tried again up to the limit of a request: three times the load, as long as the outage lasts.
+// Guards against overloading an endpoint during an outage: each of many requests fails and would be retried up to the limit per request,
+// which is three times the load for as long as the outage lasts.
 TEST_CASE("Retries in an outage stay under a fraction of earlier successes", "[relay][retry]")
 {
     rc::prop("any successes, then an outage", [] {
--- a/src/relay/requeststatemachine.cpp
+++ b/src/relay/requeststatemachine.cpp
@@ -1,5 +1,5 @@
-// One explicit state and a handful of facts. The outcome is not a state but is derived from the facts when the
-// request ends (failureOutcome), so no path can answer more than what is known.
+// One explicit state and a few facts. The outcome is not a state: failureOutcome() derives it from the facts when the request ends, so no
+// path can report more than is known.
 
 #include "relay/requeststatemachine.h"
 
@@ -42,7 +42,8 @@
     return ClaimState::Unknown;
 }
 
-// A repeat did not run itself, but to its caller the request is the key's: it is told how that one stands.
+// The repeat itself did not run, but to its caller both are one request, identified by the key. So it gets the outcome of the request that
+// holds the claim.
 Outcome outcomeOf(ClaimState state)
 {
     switch (state) {
@@ -107,8 +108,8 @@
 {
     RequestActions actions;
     if (m_state != RequestState::AwaitPermit || grant.id.attempt != m_attempt) {
-        // The grant of a ticket that was cancelled meanwhile goes straight back; a doubled one was released already
-        // or is in use, and a second release would free a slot that is not free.
+        // The grant of a ticket that was cancelled in the meantime is released at once. A duplicate grant is already released or in use,
+        // and a second release would free a slot that is in use.
         if (grant.id.attempt == m_attempt && !m_grantTaken) {
             m_grantTaken = true;
             actions.push_back(ReleasePermit{m_attempt, grant.endpoint, ReleaseKind::Unused, {}, {}, 0, 0, {}});
@@ -194,7 +195,7 @@
         return actions;
     }
     if (now > m_permitExpires) {
-        // The arbiter has given the slot to somebody else by now: sending would overload the endpoint.
+        // The arbiter has given the slot to another request by now, so sending would overload the endpoint.
         closeAttempt(ReleaseKind::Unused, actions);
         requestPermit(actions);
         return actions;
@@ -278,7 +279,7 @@
         return actions;
     }
     if (m_facts.tokens < held) {
-        // A re-run that ends before the point which the first run had reached is another answer.
+        // A re-run that ends before the last offset of the first run is a different answer.
         return diverged(connection);
     }
     m_facts.reusedPromptTokens = reusedPromptTokens;
@@ -326,7 +327,7 @@
     if (!isCurrent(connection)) {
         return actions;
     }
-    // Another run would be compared with the same delivered part; the caller is told now.
+    // Another run would be compared with the same delivered part, so the caller gets the error now.
     closeAttempt(ReleaseKind::EndpointFailed, actions);
     end(RelayError::AnswerDiverged, {}, actions);
     return actions;
@@ -363,7 +364,7 @@
 RequestActions RequestStateMachine::preempted(std::uint32_t attempt)
 {
     RequestActions actions;
-    // Only a request that can still be answered whole gives way: one that may not run again runs to its end.
+    // Only a request that can still be answered whole is preempted. One that may not run again runs to its end.
     if (ended() || !m_permitHeld || attempt != m_attempt || m_state == RequestState::AwaitClaim) {
         return actions;
     }
