--- a/src/daemon/adminfront.cpp
+++ b/src/daemon/adminfront.cpp
@@ -14,7 +14,7 @@
 
 namespace Http = boost::beast::http;
 
-constexpr std::size_t longestLevelName = 16;
+constexpr std::size_t maxLevelNameBytes = 16;
 
 AdminAnswer faultsAnswer(const PresetFaults &faults)
 {
@@ -47,8 +47,8 @@
     std::string part;
     std::string level;
     JsonReader reader(document.value(), "", faults);
-    reader.text("part", part, longestLevelName, true);
-    reader.text("level", level, longestLevelName, true);
+    reader.text("part", part, maxLevelNameBytes, true);
+    reader.text("level", level, maxLevelNameBytes, true);
     reader.finish();
     const Result<LogPart, LogError> parsedPart = parseLogPart(part);
     const Result<LogLevel, LogError> parsedLevel = parseLogLevel(level);
@@ -77,13 +77,13 @@
             return;
         }
         const AdminReply reply = [exchange](const AdminAnswer &answer) { exchange->respond(jsonResponse(answer)); };
-        if (!answerAtOnce(routed.value(), exchange, reply)) {
-            answerLater(routed.value(), request.body(), reply);
+        if (!answerImmediately(routed.value(), exchange, reply)) {
+            answerAsync(routed.value(), request.body(), reply);
         }
     }
 
 private:
-    bool answerAtOnce(const RoutedCall &routed, const std::shared_ptr<HttpExchange> &exchange, const AdminReply &reply)
+    bool answerImmediately(const RoutedCall &routed, const std::shared_ptr<HttpExchange> &exchange, const AdminReply &reply)
     {
         switch (routed.call) {
         case AdminCall::Live:
@@ -112,7 +112,7 @@
         }
     }
 
-    void answerLater(const RoutedCall &routed, const std::string &body, const AdminReply &reply)
+    void answerAsync(const RoutedCall &routed, const std::string &body, const AdminReply &reply)
     {
         switch (routed.call) {
         case AdminCall::Explain:
--- a/src/daemon/statusreport.cpp
+++ b/src/daemon/statusreport.cpp
@@ -60,7 +60,7 @@
     return {{"open", ledger.desk.open}, {"running", ledger.desk.running}, {"unavailable", ledger.desk.unavailable}, {"writes_for", std::move(writers)}};
 }
 
-/** Only the domains whose lease this host holds: the others' owners tell theirs. */
+/** Only the domains whose lease this host holds; the other holders report theirs. */
 boost::json::array placementJson(const std::map<FailureDomain, DomainStatus> &placement)
 {
     boost::json::array rows;
