--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -42,7 +42,7 @@
 
 } // namespace
 
-CallerOutcome outcomeNamed(std::string_view name)
+CallerOutcome parseOutcome(std::string_view name)
 {
     if (name == "completed") {
         return CallerOutcome::Completed;
@@ -142,7 +142,7 @@
 void Caller<ClockType>::readSome()
 {
     if (m_parser.is_done()) {
-        m_answer ? judgeStream(true) : takeWhole();
+        m_answer ? evaluateStream(true) : takeWhole();
         return;
     }
     Http::async_read_some(m_stream, m_buffer, m_parser, [self = this->shared_from_this()](const error_code &error, std::size_t) {
@@ -156,7 +156,7 @@
             return;
         }
         if (error) {
-            self->m_answer ? self->judgeStream(false) : self->finish(CallerOutcome::NoAnswer, "broke-in-answer");
+            self->m_answer ? self->evaluateStream(false) : self->finish(CallerOutcome::NoAnswer, "broke-in-answer");
             return;
         }
         self->readSome();
@@ -180,10 +180,10 @@
 }
 
 template <Clock ClockType>
-void Caller<ClockType>::judgeStream(bool ended)
+void Caller<ClockType>::evaluateStream(bool ended)
 {
     if (!m_answer->outcome().empty() && m_answer->outcome() != "completed") {
-        finish(outcomeNamed(m_answer->outcome()), m_answer->errorType());
+        finish(parseOutcome(m_answer->outcome()), m_answer->errorType());
         return;
     }
     const bool saidComplete = m_answer->outcome() == "completed" || (m_options.direct && m_answer->isWhole());
@@ -214,17 +214,17 @@
         finish(CallerOutcome::Rejected, "no-outcome-header");
         return;
     }
-    const CallerOutcome outcome = named.empty() ? CallerOutcome::Completed : outcomeNamed(named);
+    const CallerOutcome outcome = named.empty() ? CallerOutcome::Completed : parseOutcome(named);
     if (outcome != CallerOutcome::Completed) {
         finish(outcome, type);
         return;
     }
-    const bool right = status == 200 && m_rule.kind == RequestKind::Service && serviceAnswerIsRight(body);
+    const bool right = status == 200 && m_rule.kind == RequestKind::Service && isServiceAnswerCorrect(body);
     finish(right ? CallerOutcome::Completed : CallerOutcome::Wrong, right ? "" : "other-answer");
 }
 
 template <Clock ClockType>
-bool Caller<ClockType>::serviceAnswerIsRight(const std::string &body) const
+bool Caller<ClockType>::isServiceAnswerCorrect(const std::string &body) const
 {
     const boost::json::object answer = objectOf(body);
     return textAt(answer, "id") == m_request.id && textAt(answer, "digest") == digestHex(answerKey(m_message.body(), {}, {}).promptDigest);
--- a/src/load/load_test.cpp
+++ b/src/load/load_test.cpp
@@ -244,8 +244,8 @@
         request.classIndex = row.classIndex;
         tally.add(request, row.tries, row.ran);
         tally.finish();
-        CHECK(brokenPromises(tally, false).size() == row.broken);
-        CHECK(brokenPromises(tally, true).size() == row.brokenWhenWhole);
+        CHECK(findViolations(tally, false).size() == row.broken);
+        CHECK(findViolations(tally, true).size() == row.brokenWhenWhole);
     }
 }
 
@@ -297,7 +297,7 @@
     CHECK(total.count(CallerOutcome::Completed) == sent);
     CHECK(total.runs == sent);
     CHECK(total.wastedTokens() == 0);
-    CHECK(brokenPromises(tally, true).empty());
+    CHECK(findViolations(tally, true).empty());
 }
 
 TEST_CASE("a connection that ends in mid-stream is no answer", "[load]")
@@ -320,5 +320,5 @@
     LoadRun(mix, {request}, directTo(port)).run(tally);
     host.join();
     CHECK(tally.total().count(CallerOutcome::Completed) == 0);
-    CHECK(brokenPromises(tally, true).size() == 1);
+    CHECK(findViolations(tally, true).size() == 1);
 }
--- a/src/load/report.cpp
+++ b/src/load/report.cpp
@@ -53,7 +53,7 @@
                   milliseconds(quantileOf(tally.firstTokens, 0.99)),
                   milliseconds(quantileOf(tally.interTokens, 0.5)),
                   milliseconds(quantileOf(tally.interTokens, 0.95)),
-                  perSecond(tally.askedTokens, elapsed),
+                  perSecond(tally.requestedTokens, elapsed),
                   perSecond(tally.goodTokens, elapsed),
                   perSecond(tally.deliveredTokens, elapsed),
                   100 * wastedShare(tally),
@@ -142,7 +142,7 @@
 } // namespace
 
 void printTable(
-    std::ostream &out, const std::string &label, const Mix &mix, const Tally &tally, const LoadRunReport &run, const std::vector<BrokenPromise> &broken)
+    std::ostream &out, const std::string &label, const Mix &mix, const Tally &tally, const LoadRunReport &run, const std::vector<GuaranteeViolation> &broken)
 {
     out << "== " << label << "\n"
         << "class                tier   sent  attain  whole not-run broken  left  late  slow  ttft50  ttft95  ttft99   itl50   itl95  asked/s   good/s  "
@@ -163,7 +163,7 @@
     if (run.endpointsWithoutCounters > 0) {
         out << "counters missing from " << run.endpointsWithoutCounters << " stand-ins: runs there are not checked\n";
     }
-    for (const BrokenPromise &promise : broken) {
+    for (const GuaranteeViolation &promise : broken) {
         out << "BROKEN " << promise.className << ": " << promise.requests << " " << promise.what << "\n";
     }
 }
@@ -195,7 +195,7 @@
                                        {"first_token_p95_ms", milliseconds(quantileOf(of.firstTokens, 0.95))},
                                        {"first_token_p99_ms", milliseconds(quantileOf(of.firstTokens, 0.99))},
                                        {"first_token_max_ms", milliseconds(quantileOf(of.firstTokens, 1))},
-                                       {"asked_per_s", perSecond(of.askedTokens, run.elapsed)},
+                                       {"asked_per_s", perSecond(of.requestedTokens, run.elapsed)},
                                        {"goodput_per_s", perSecond(of.goodTokens, run.elapsed)},
                                        {"delivered_per_s", perSecond(of.deliveredTokens, run.elapsed)},
                                        {"generated_tokens", of.generatedTokens},
--- a/src/load/tally.cpp
+++ b/src/load/tally.cpp
@@ -70,7 +70,7 @@
     ClassTally &tally = m_classes[request.classIndex];
     const CallerResult &result = bestOf(tries);
     ++tally.sent;
-    tally.askedTokens += request.answerTokens;
+    tally.requestedTokens += request.answerTokens;
     ++tally.outcomes[static_cast<std::size_t>(result.outcome)];
     if (!result.reason.empty()) {
         ++tally.reasons[result.reason];
@@ -90,7 +90,7 @@
         tally.deliveredTokens += result.tokens;
         tally.firstTokens.push_back(result.firstToken);
     }
-    tally.leftTokens += result.outcome == CallerOutcome::Left ? result.tokens : 0;
+    tally.abandonedTokens += result.outcome == CallerOutcome::Left ? result.tokens : 0;
     tally.generatedTokens += ran.generated;
     tally.runs += ran.runs;
     if (!rule.idempotent && ran.runs > 1) {
@@ -127,10 +127,10 @@
         }
         total.interTokens.insert(total.interTokens.end(), tally.interTokens.begin(), tally.interTokens.end());
         total.firstTokens.insert(total.firstTokens.end(), tally.firstTokens.begin(), tally.firstTokens.end());
-        total.askedTokens += tally.askedTokens;
+        total.requestedTokens += tally.requestedTokens;
         total.goodTokens += tally.goodTokens;
         total.deliveredTokens += tally.deliveredTokens;
-        total.leftTokens += tally.leftTokens;
+        total.abandonedTokens += tally.abandonedTokens;
         total.generatedTokens += tally.generatedTokens;
         total.runs += tally.runs;
         total.duplicates += tally.duplicates;
@@ -141,9 +141,9 @@
     return total;
 }
 
-std::vector<BrokenPromise> brokenPromises(const Tally &tally, bool expectWhole)
+std::vector<GuaranteeViolation> findViolations(const Tally &tally, bool expectWhole)
 {
-    std::vector<BrokenPromise> broken;
+    std::vector<GuaranteeViolation> broken;
     const auto expectNone = [&broken](const ClassTally &of, std::string what, std::uint64_t requests) {
         if (requests > 0) {
             broken.push_back({of.name, std::move(what), requests});
--- a/src/standins/engineanswers.cpp
+++ b/src/standins/engineanswers.cpp
@@ -13,14 +13,14 @@
 
 constexpr std::size_t longestId = 256;
 
-std::string_view cacheNewsName(CacheNewsKind kind)
+std::string_view cacheNewsName(CacheUpdateKind kind)
 {
     switch (kind) {
-    case CacheNewsKind::Stored:
+    case CacheUpdateKind::Stored:
         return "stored";
-    case CacheNewsKind::Evicted:
+    case CacheUpdateKind::Evicted:
         return "evicted";
-    case CacheNewsKind::Cleared:
+    case CacheUpdateKind::Cleared:
         return "cleared";
     }
     return "";
@@ -110,11 +110,11 @@
             {"fencing", duty.fencing}};
 }
 
-boost::json::object cacheEventsAnswer(const std::vector<CacheNews> &news, std::uint64_t after)
+boost::json::object cacheEventsAnswer(const std::vector<CacheUpdate> &news, std::uint64_t after)
 {
     boost::json::array events;
     std::uint64_t next = after;
-    for (const CacheNews &item : news) {
+    for (const CacheUpdate &item : news) {
         events.push_back(boost::json::object{{"sequence", item.sequence}, {"kind", cacheNewsName(item.kind)}, {"block", digestHex(item.block)}});
         next = item.sequence;
     }
--- a/src/standins/enginemodel.cpp
+++ b/src/standins/enginemodel.cpp
@@ -44,7 +44,7 @@
         endStep(end, tokens);
         beginStep(end);
     }
-    forgetEnded(now);
+    evictEnded(now);
     sampleLoad(now);
     return tokens;
 }
@@ -91,7 +91,7 @@
     run.priority = prompt.priority;
     run.arrival = ++m_arrivals;
     run.promptTokens = promptTokens;
-    run.prefillLeft = promptTokens;
+    run.prefillRemaining = promptTokens;
     const std::uint64_t room = m_options.kvTokens - promptTokens;
     run.answerTokens = static_cast<std::uint32_t>(std::min<std::uint64_t>({marker.tokens, prompt.maxTokens, room}));
     run.blocks = cacheBlocks(prompt.text);
@@ -198,8 +198,8 @@
         m_waiting.erase(m_waiting.begin());
         const std::size_t reused = m_cache.reuse(run.blocks) * cacheBlockBytes / promptBytesPerToken;
         // At least one prompt token is computed, since the first answer token comes out of it.
-        const std::uint32_t reusedTokens = std::min<std::uint32_t>(static_cast<std::uint32_t>(reused), run.prefillLeft - 1);
-        run.prefillLeft -= reusedTokens;
+        const std::uint32_t reusedTokens = std::min<std::uint32_t>(static_cast<std::uint32_t>(reused), run.prefillRemaining - 1);
+        run.prefillRemaining -= reusedTokens;
         run.cachedTokens = run.started ? run.cachedTokens : reusedTokens;
         if (!run.started) {
             m_started.push_back(run.id);
@@ -215,7 +215,7 @@
     std::uint32_t budget = m_options.prefillTokensPerStep;
     std::uint32_t taken = 0;
     for (EngineRun *run : m_batch) {
-        run->prefillNow = std::min(run->prefillLeft, budget);
+        run->prefillNow = std::min(run->prefillRemaining, budget);
         budget -= run->prefillNow;
         taken += run->prefillNow;
     }
@@ -225,10 +225,10 @@
 void EngineModel::endStep(TimePoint end, std::vector<EngineToken> &tokens)
 {
     for (EngineRun *run : m_batch) {
-        const bool wasPrefilling = run->prefillLeft > 0;
-        run->prefillLeft -= run->prefillNow;
+        const bool wasPrefilling = run->prefillRemaining > 0;
+        run->prefillRemaining -= run->prefillNow;
         run->prefillNow = 0;
-        if (run->prefillLeft > 0) {
+        if (run->prefillRemaining > 0) {
             continue;
         }
         if (wasPrefilling) {
@@ -257,7 +257,7 @@
         EngineRun &run = **last;
         m_batch.erase(last);
         run.state = EngineRunState::Waiting;
-        run.prefillLeft = run.promptTokens + run.generated;
+        run.prefillRemaining = run.promptTokens + run.generated;
         m_waiting.insert(keyOf(run));
     }
 }
@@ -279,11 +279,11 @@
     m_cache.clear(loaded);
 }
 
-void EngineModel::forgetEnded(TimePoint now)
+void EngineModel::evictEnded(TimePoint now)
 {
     while (!m_ended.empty()) {
         const auto found = m_runs.find(m_ended.front());
-        if (m_ended.size() <= maxHeldRuns && found->second.ended + m_options.holdAfterEnd > now) {
+        if (m_ended.size() <= maxRetainedRuns && found->second.ended + m_options.retentionTime > now) {
             return;
         }
         m_runs.erase(found);
--- a/src/standins/enginemodel.h
+++ b/src/standins/enginemodel.h
@@ -10,7 +10,7 @@
 // back to the queue and prefills again; its tokens so far stay given.
 //
 // Usage: call advance(now) before anything else at `now`, and again at nextEvent().
-// Bounds: queueLimit waiting runs, slots running, maxHeldRuns ended ones that can still be resumed.
+// Bounds: queueLimit waiting runs, slots running, maxRetainedRuns ended ones that can still be resumed.
 
 #include "base/random.h"
 #include "base/result.h"
@@ -29,7 +29,7 @@
 namespace Rhubarbwind
 {
 
-inline constexpr std::size_t maxHeldRuns = 20'000;
+inline constexpr std::size_t maxRetainedRuns = 20'000;
 
 struct EngineOptions
 {
@@ -41,7 +41,7 @@
     double speed = 1.0; ///< 2.0 halves every step
     std::uint64_t kvTokens = 65'536;
     std::size_t queueLimit = 64;
-    Duration holdAfterEnd = 30s;
+    Duration retentionTime = 30s;
     Duration loadLag = 1s;
     Duration loadInterval = 250ms; ///< between samples of the load report
     Duration loadingTime = 2s; ///< of a model, version or adapter
@@ -86,7 +86,7 @@
     bool started = false; ///< was in the batch at least once
     std::uint32_t promptTokens = 0;
     std::uint32_t cachedTokens = 0;
-    std::uint32_t prefillLeft = 0;
+    std::uint32_t prefillRemaining = 0;
     std::uint32_t prefillNow = 0; ///< taken in by the present step
     std::uint32_t answerTokens = 0;
     std::uint32_t generated = 0;
@@ -240,7 +240,7 @@
     void relieveMemory();
     void endRun(EngineRun &run, EngineRunState state, TimePoint now);
     void finishLoading();
-    void forgetEnded(TimePoint now);
+    void evictEnded(TimePoint now);
     void sampleLoad(TimePoint now);
 
     EngineOptions m_options;
--- a/src/standins/enginemodel_test.cpp
+++ b/src/standins/enginemodel_test.cpp
@@ -148,17 +148,17 @@
 {
     PrefixCacheOptions options;
     options.capacity = 100;
-    options.newsLoss = 0.3;
+    options.updateLoss = 0.3;
     PrefixCache cache(options, 7);
     const TimePoint start = ManualClock::now();
     for (std::uint64_t block = 1; block <= 200; ++block) {
         cache.store(std::vector<std::uint64_t>{block}, start);
     }
-    CHECK(cache.newsAfter(0, 1000, start + options.newsLag - 1us).empty());
-    const std::vector<CacheNews> news = cache.newsAfter(0, 1000, start + options.newsLag);
+    CHECK(cache.updatesAfter(0, 1000, start + options.updateLag - 1us).empty());
+    const std::vector<CacheUpdate> news = cache.updatesAfter(0, 1000, start + options.updateLag);
     CHECK(news.size() < 300);
     CHECK(news.size() > 150);
-    CHECK(std::is_sorted(news.begin(), news.end(), [](const CacheNews &left, const CacheNews &right) { return left.sequence < right.sequence; }));
+    CHECK(std::is_sorted(news.begin(), news.end(), [](const CacheUpdate &left, const CacheUpdate &right) { return left.sequence < right.sequence; }));
     CHECK(cache.reuse(std::vector<std::uint64_t>{100}) == 0);
     CHECK(cache.reuse(std::vector<std::uint64_t>{101}) == 1);
 }
--- a/src/standins/engineserver.cpp
+++ b/src/standins/engineserver.cpp
@@ -206,7 +206,7 @@
 StandinReply EngineServer<ClockType>::cacheEventsReply(std::string_view target) const
 {
     const std::uint64_t after = RequestTarget(target).number("after");
-    const std::vector<CacheNews> news = m_model.cache().newsAfter(after, cacheEventsPerAnswer, ClockType::now());
+    const std::vector<CacheUpdate> news = m_model.cache().updatesAfter(after, cacheEventsPerAnswer, ClockType::now());
     return jsonReply(Http::status::ok, cacheEventsAnswer(news, after), headers());
 }
 
--- a/src/standins/platformapi.cpp
+++ b/src/standins/platformapi.cpp
@@ -51,20 +51,20 @@
     return reply;
 }
 
-Http::status statusOf(StoreVerdict verdict)
+Http::status statusOf(StoreResult result)
 {
-    switch (verdict) {
-    case StoreVerdict::Done:
+    switch (result) {
+    case StoreResult::Done:
         return Http::status::ok;
-    case StoreVerdict::NotFound:
+    case StoreResult::NotFound:
         return Http::status::not_found;
-    case StoreVerdict::ConditionFailed:
+    case StoreResult::ConditionFailed:
         return Http::status::precondition_failed;
-    case StoreVerdict::NoCondition:
+    case StoreResult::NoCondition:
         return Http::status::precondition_required;
-    case StoreVerdict::TooLarge:
+    case StoreResult::TooLarge:
         return Http::status::payload_too_large;
-    case StoreVerdict::BadKey:
+    case StoreResult::BadKey:
         return Http::status::bad_request;
     }
     return Http::status::internal_server_error;
@@ -72,7 +72,7 @@
 
 StandinReply makeReply(const StoreWrite &write)
 {
-    StandinReply reply = makeReply(statusOf(write.verdict));
+    StandinReply reply = makeReply(statusOf(write.result));
     return write.version != 0 ? tagged(std::move(reply), write.version) : reply;
 }
 
@@ -88,7 +88,7 @@
 {
 }
 
-void PlatformApi::showHosts(std::string document)
+void PlatformApi::setHostList(std::string document)
 {
     m_hosts = std::move(document);
 }
@@ -107,7 +107,7 @@
     return reply;
 }
 
-bool PlatformApi::takeRate()
+bool PlatformApi::tryTakeRate()
 {
     return count(m_callRate.allows());
 }
@@ -127,7 +127,7 @@
     return allowed;
 }
 
-StandinReply PlatformApi::carryOut(const StandinRequest &request, const RequestTarget &target)
+StandinReply PlatformApi::execute(const StandinRequest &request, const RequestTarget &target)
 {
     constexpr std::string_view objects = "/v1/objects/";
     if (target.path().starts_with(objects)) {
--- a/src/standins/platformserver.cpp
+++ b/src/standins/platformserver.cpp
@@ -60,7 +60,7 @@
         , m_options(std::move(options))
         , m_api(m_options.seed)
     {
-        m_api.showHosts(json::serialize(hostsDocument(m_options.hosts)));
+        m_api.setHostList(json::serialize(hostsDocument(m_options.hosts)));
         if (!m_options.presetInForce.empty()) {
             m_api.store().put("preset/in-force", m_options.presetInForce, {true, std::nullopt});
         }
@@ -115,7 +115,7 @@
             m_connection->reply(plainReply(Http::status::service_unavailable));
             return;
         }
-        if (!api.takeRate()) {
+        if (!api.tryTakeRate()) {
             m_connection->reply(PlatformApi::overRate());
             return;
         }
@@ -123,7 +123,7 @@
             startWatch(target);
             return;
         }
-        StandinReply reply = api.carryOut(request, target);
+        StandinReply reply = api.execute(request, target);
         if (request.method() != Http::verb::get) {
             m_state->wakeWatches();
         }
@@ -282,14 +282,14 @@
 {
     std::string shown = json::serialize(hostsDocument(std::move(hosts)));
     if (m_options.hostLag <= Duration::zero()) {
-        m_api.showHosts(std::move(shown));
+        m_api.setHostList(std::move(shown));
         return;
     }
     const std::shared_ptr<SessionTimer<SteadyClock>> timer = std::make_shared<SessionTimer<SteadyClock>>(m_context, m_options.hostLag);
     timer->async_wait([self = weak_from_this(), timer, late = std::move(shown)](const error_code &error) {
         const std::shared_ptr<State> state = self.lock();
         if (!error && state && !state->m_stopped) {
-            state->m_api.showHosts(late);
+            state->m_api.setHostList(late);
         }
     });
 }
