--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -13,10 +13,10 @@
 namespace Http = boost::beast::http;
 using boost::system::error_code;
 
-constexpr std::uint64_t largestAnswer = std::uint64_t{32} * 1024 * 1024;
+constexpr std::uint64_t maxAnswerBytes = std::uint64_t{32} * 1024 * 1024;
 constexpr const char *classHeader = "X-Rhubarbwind-Class";
 constexpr const char *outcomeHeader = "X-Rhubarbwind-Outcome";
-/** The statuses of a request that was wrong rather than unlucky; 408, 409 and 429 are not among them. */
+/** Statuses that the request itself causes. 408, 409 and 429 are not among them, since they depend on timing and load. */
 constexpr std::array<unsigned, 8> badRequestStatuses{400, 401, 403, 404, 405, 413, 415, 431};
 
 boost::json::object objectOf(const std::string &text)
@@ -32,7 +32,7 @@
     return value != nullptr && value->is_string() ? std::string(value->get_string()) : std::string();
 }
 
-/** The type of a typed error answer; empty when the body is none. */
+/** The type of a typed error answer; empty for any other body. */
 std::string errorTypeOf(const std::string &body)
 {
     const boost::json::object object = objectOf(body);
@@ -68,7 +68,7 @@
     , m_stream(context)
     , m_patience(context)
 {
-    m_parser.body_limit(largestAnswer);
+    m_parser.body_limit(maxAnswerBytes);
 }
 
 template <Clock ClockType>
@@ -167,8 +167,8 @@
 void Caller<ClockType>::takeStream()
 {
     const std::string &body = m_parser.get().body();
-    const Result<void, StreamFault> taken = m_answer->take(std::string_view(body).substr(m_taken), ClockType::now());
-    m_taken = body.size();
+    const Result<void, StreamFault> taken = m_answer->take(std::string_view(body).substr(m_consumed), ClockType::now());
+    m_consumed = body.size();
     if (!taken) {
         static constexpr std::array<const char *, 3> names{"bad-event", "bad-event-id", "wrong-token"};
         finish(CallerOutcome::Wrong, names[static_cast<std::size_t>(taken.error())]);
@@ -186,12 +186,12 @@
         finish(parseOutcome(m_answer->outcome()), m_answer->errorType());
         return;
     }
-    const bool saidComplete = m_answer->outcome() == "completed" || (m_options.direct && m_answer->isWhole());
-    if (saidComplete) {
+    const bool isReportedComplete = m_answer->outcome() == "completed" || (m_options.direct && m_answer->isWhole());
+    if (isReportedComplete) {
         finish(ended && m_answer->isWhole() ? CallerOutcome::Completed : CallerOutcome::Wrong, m_answer->isWhole() ? "" : "partial");
         return;
     }
-    // A stream that ends as if whole, without an outcome, would be taken for a whole one by plain clients.
+    // Ordinary clients would take a stream that ends normally without an outcome for a complete one.
     finish(ended && !m_answer->isWhole() ? CallerOutcome::Wrong : CallerOutcome::NoAnswer, ended ? "ended-without-outcome" : "broke-in-stream");
 }
 
@@ -200,7 +200,7 @@
 {
     const unsigned status = m_parser.get().result_int();
     const std::string &body = m_parser.get().body();
-    const std::string named(m_parser.get()[outcomeHeader]);
+    const std::string outcomeName(m_parser.get()[outcomeHeader]);
     const std::string type = errorTypeOf(body);
     if (status == 409 && type.starts_with("claim")) {
         finish(CallerOutcome::Repeated, type);
@@ -210,17 +210,17 @@
         finish(CallerOutcome::Rejected, type.empty() ? "status-" + std::to_string(status) : type);
         return;
     }
-    if (named.empty() && !(m_options.direct && status == 200)) {
+    if (outcomeName.empty() && !(m_options.direct && status == 200)) {
         finish(CallerOutcome::Rejected, "no-outcome-header");
         return;
     }
-    const CallerOutcome outcome = named.empty() ? CallerOutcome::Completed : parseOutcome(named);
+    const CallerOutcome outcome = outcomeName.empty() ? CallerOutcome::Completed : parseOutcome(outcomeName);
     if (outcome != CallerOutcome::Completed) {
         finish(outcome, type);
         return;
     }
-    const bool right = status == 200 && m_rule.kind == RequestKind::Service && isServiceAnswerCorrect(body);
-    finish(right ? CallerOutcome::Completed : CallerOutcome::Wrong, right ? "" : "other-answer");
+    const bool isCorrect = status == 200 && m_rule.kind == RequestKind::Service && isServiceAnswerCorrect(body);
+    finish(isCorrect ? CallerOutcome::Completed : CallerOutcome::Wrong, isCorrect ? "" : "other-answer");
 }
 
 template <Clock ClockType>
--- a/src/load/load_test.cpp
+++ b/src/load/load_test.cpp
@@ -43,7 +43,7 @@
     return mix;
 }
 
-/** An engine's stream for a prompt, without its closing event. */
+/** An engine's event stream for a prompt, without the closing event. */
 std::string tokensOf(const std::string &prompt, std::uint32_t from, std::uint32_t to)
 {
     const AnswerKey key = answerKey(prompt, readMarker(prompt), "run");
@@ -80,7 +80,7 @@
 
 } // namespace
 
-TEST_CASE("the example mixes parse, and promise what the firm's ordinary preset does", "[load]")
+TEST_CASE("the example mixes parse and have the targets of the firm's ordinary preset", "[load]")
 {
     const std::string firm = GENERATE("klangrecht", "awash");
     INFO(firm);
@@ -103,7 +103,7 @@
     }
 }
 
-TEST_CASE("a faulty mix is refused with the path of each fault", "[load]")
+TEST_CASE("an invalid mix is refused with the path of each fault", "[load]")
 {
     const Result<Mix, DocumentFaults> mix = parseMix(R"({"customers": [{"name": "a"}], "classes": [{"name": "x", "double_share": 0.5, "typo": 1}],
         "bursts": [{"name": "b", "classes": ["y"], "customer": "z", "factor": 0.5}]})");
@@ -117,7 +117,7 @@
               "customers[0].api_key", "classes[0].double_share", "classes[0].typo", "bursts[0].classes", "bursts[0].customer", "bursts[0].factor"});
 }
 
-TEST_CASE("arrivals keep to rate, burst, customer and seed", "[load]")
+TEST_CASE("arrivals follow rate, burst, customer and seed", "[load]")
 {
     const Mix mix = smallMix();
     ArrivalOptions options;
@@ -163,7 +163,7 @@
     });
 }
 
-TEST_CASE("a stream that is cut, skipped, repeated or foreign is never whole", "[load]")
+TEST_CASE("a stream with missing, repeated or foreign tokens is never whole", "[load]")
 {
     struct Row
     {
@@ -213,7 +213,7 @@
     CHECK(balancer.next(now) == 1);
 }
 
-TEST_CASE("a run is judged by what its callers got and what the endpoints ran", "[load]")
+TEST_CASE("violations follow from what callers received and what the endpoints ran", "[load]")
 {
     struct Row
     {
@@ -221,17 +221,17 @@
         std::size_t classIndex; // 1 is not idempotent
         std::vector<CallerResult> tries;
         EndpointCount ran;
-        std::size_t broken;
-        std::size_t brokenWhenWhole;
+        std::size_t violations;
+        std::size_t violationsWhenWhole;
     };
     const std::vector<Row> rows{
         {"whole", 0, {resultOf(CallerOutcome::Completed, 5)}, {1, 5}, 0, 0},
         {"an idempotent retry", 0, {resultOf(CallerOutcome::Completed, 5)}, {2, 9}, 0, 0},
         {"a non-idempotent one ran twice", 1, {resultOf(CallerOutcome::Completed, 5)}, {2, 10}, 1, 1},
-        {"told not-run and ran", 0, {resultOf(CallerOutcome::NotRun)}, {1, 1}, 1, 1},
-        {"told not-run and did not", 0, {resultOf(CallerOutcome::NotRun)}, {0, 0}, 0, 0},
-        {"its twin ran", 1, {resultOf(CallerOutcome::NotRun), resultOf(CallerOutcome::Completed, 5)}, {1, 5}, 0, 0},
-        {"neither twin ran, they were told", 1, {resultOf(CallerOutcome::NotRun), resultOf(CallerOutcome::NotRun)}, {1, 5}, 1, 1},
+        {"answered not-run and ran", 0, {resultOf(CallerOutcome::NotRun)}, {1, 1}, 1, 1},
+        {"answered not-run and did not run", 0, {resultOf(CallerOutcome::NotRun)}, {0, 0}, 0, 0},
+        {"its duplicate ran", 1, {resultOf(CallerOutcome::NotRun), resultOf(CallerOutcome::Completed, 5)}, {1, 5}, 0, 0},
+        {"both duplicates answered not-run, but one ran", 1, {resultOf(CallerOutcome::NotRun), resultOf(CallerOutcome::NotRun)}, {1, 5}, 1, 1},
         {"wrong", 0, {resultOf(CallerOutcome::Wrong)}, {1, 5}, 1, 1},
         {"no answer", 0, {resultOf(CallerOutcome::NoAnswer)}, {1, 5}, 0, 1},
         {"failed after start", 1, {resultOf(CallerOutcome::FailedAfterStart)}, {1, 2}, 0, 1},
@@ -244,8 +244,8 @@
         request.classIndex = row.classIndex;
         tally.add(request, row.tries, row.ran);
         tally.finish();
-        CHECK(findViolations(tally, false).size() == row.broken);
-        CHECK(findViolations(tally, true).size() == row.brokenWhenWhole);
+        CHECK(findViolations(tally, false).size() == row.violations);
+        CHECK(findViolations(tally, true).size() == row.violationsWhenWhole);
     }
 }
 
@@ -302,8 +302,8 @@
 
 TEST_CASE("a connection that ends in mid-stream is no answer", "[load]")
 {
-    // The host sends two of three tokens and closes. A load tool that took the end of the connection for the end
-    // of the answer would report a faultless run.
+    // The host sends two of three tokens and closes the connection. Failure: if the load tool takes the end of the connection for the end of the
+    // answer, it reports no violation.
     boost::asio::io_context context;
     boost::asio::ip::tcp::acceptor acceptor(context, anyPort);
     const std::uint16_t port = acceptor.local_endpoint().port();
@@ -311,8 +311,8 @@
     request.user = threeTokens;
     std::thread host([&] {
         boost::asio::ip::tcp::socket socket = acceptor.accept();
-        std::string question;
-        boost::asio::read_until(socket, boost::asio::dynamic_buffer(question), "len=3");
+        std::string received;
+        boost::asio::read_until(socket, boost::asio::dynamic_buffer(received), "len=3");
         boost::asio::write(socket, boost::asio::buffer("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n" + tokensOf(threeTokens, 1, 2)));
     });
     const Mix mix = smallMix();
--- a/src/load/report.cpp
+++ b/src/load/report.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::size_t longestLine = 512;
+constexpr std::size_t maxLineLength = 512;
 
 double milliseconds(Duration duration)
 {
@@ -22,7 +22,7 @@
     return elapsed > Duration::zero() ? static_cast<double>(count) / toSeconds(elapsed) : 0;
 }
 
-std::uint64_t notWhole(const ClassTally &tally)
+std::uint64_t incompleteAnswers(const ClassTally &tally)
 {
     return tally.count(CallerOutcome::FailedAfterStart) + tally.count(CallerOutcome::Unknown) + tally.count(CallerOutcome::NoAnswer);
 }
@@ -34,7 +34,7 @@
 
 void printClass(std::ostream &out, const ClassTally &tally, const std::string &tier, Duration elapsed)
 {
-    std::array<char, longestLine> line{};
+    std::array<char, maxLineLength> line{};
     std::snprintf(line.data(),
                   line.size(),
                   "%-20s %4s %6llu %7.3f %6llu %7llu %6llu %5llu %5llu %5llu %7.0f %7.0f %7.0f %7.1f %7.1f %8.1f %8.1f %8.1f %6.2f%% %5llu %4llu %5llu\n",
@@ -44,7 +44,7 @@
                   tally.attainment(),
                   static_cast<unsigned long long>(tally.count(CallerOutcome::Completed)),
                   static_cast<unsigned long long>(tally.count(CallerOutcome::NotRun)),
-                  static_cast<unsigned long long>(notWhole(tally)),
+                  static_cast<unsigned long long>(incompleteAnswers(tally)),
                   static_cast<unsigned long long>(tally.count(CallerOutcome::Left)),
                   static_cast<unsigned long long>(tally.lateFirst),
                   static_cast<unsigned long long>(tally.slowTokens),
@@ -63,7 +63,7 @@
     out << line.data();
 }
 
-void printShed(std::ostream &out, const Tally &tally)
+void printNotRunByTier(std::ostream &out, const Tally &tally)
 {
     std::map<std::uint8_t, std::pair<std::uint64_t, std::uint64_t>> byTier;
     for (const ClassTally &of : tally.classes()) {
@@ -141,8 +141,12 @@
 
 } // namespace
 
-void printTable(
-    std::ostream &out, const std::string &label, const Mix &mix, const Tally &tally, const LoadRunReport &run, const std::vector<GuaranteeViolation> &broken)
+void printTable(std::ostream &out,
+                const std::string &label,
+                const Mix &mix,
+                const Tally &tally,
+                const LoadRunReport &run,
+                const std::vector<GuaranteeViolation> &violations)
 {
     out << "== " << label << "\n"
         << "class                tier   sent  attain  whole not-run broken  left  late  slow  ttft50  ttft95  ttft99   itl50   itl95  asked/s   good/s  "
@@ -153,7 +157,7 @@
     }
     const ClassTally total = tally.total();
     printClass(out, total, "", run.elapsed);
-    printShed(out, tally);
+    printNotRunByTier(out, tally);
     printCustomers(out, mix, tally);
     out << "reasons:";
     for (const auto &[reason, count] : total.reasons) {
@@ -163,8 +167,8 @@
     if (run.endpointsWithoutCounters > 0) {
         out << "counters missing from " << run.endpointsWithoutCounters << " stand-ins: runs there are not checked\n";
     }
-    for (const GuaranteeViolation &promise : broken) {
-        out << "BROKEN " << promise.className << ": " << promise.requests << " " << promise.what << "\n";
+    for (const GuaranteeViolation &violation : violations) {
+        out << "BROKEN " << violation.className << ": " << violation.requests << " " << violation.what << "\n";
     }
 }
 
--- a/src/load/tally.cpp
+++ b/src/load/tally.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/** The better of two answers to one request: a completed one, else the one that tells the caller most. */
-const CallerResult &bestOf(const std::vector<CallerResult> &tries)
+/** The best result of a request: a completed one, otherwise the one that gives the caller the most information. */
+const CallerResult &mostInformative(const std::vector<CallerResult> &tries)
 {
     static constexpr std::array<int, callerOutcomes> rank{0, 4, 2, 3, 5, 6, 1, 7, -1};
     return *std::min_element(tries.begin(), tries.end(), [](const CallerResult &left, const CallerResult &right) {
@@ -68,7 +68,7 @@
 {
     const MixClass &rule = m_mix.classes[request.classIndex];
     ClassTally &tally = m_classes[request.classIndex];
-    const CallerResult &result = bestOf(tries);
+    const CallerResult &result = mostInformative(tries);
     ++tally.sent;
     tally.requestedTokens += request.answerTokens;
     ++tally.outcomes[static_cast<std::size_t>(result.outcome)];
@@ -96,8 +96,8 @@
     if (!rule.idempotent && ran.runs > 1) {
         ++tally.duplicates;
     }
-    const bool toldNotRun = std::all_of(tries.begin(), tries.end(), [](const CallerResult &each) { return each.outcome == CallerOutcome::NotRun; });
-    if (toldNotRun && ran.runs > 0) {
+    const bool areAllNotRun = std::all_of(tries.begin(), tries.end(), [](const CallerResult &each) { return each.outcome == CallerOutcome::NotRun; });
+    if (areAllNotRun && ran.runs > 0) {
         ++tally.notRunThatRan;
     }
 }
@@ -143,10 +143,10 @@
 
 std::vector<GuaranteeViolation> findViolations(const Tally &tally, bool expectWhole)
 {
-    std::vector<GuaranteeViolation> broken;
-    const auto expectNone = [&broken](const ClassTally &of, std::string what, std::uint64_t requests) {
+    std::vector<GuaranteeViolation> violations;
+    const auto expectNone = [&violations](const ClassTally &of, std::string what, std::uint64_t requests) {
         if (requests > 0) {
-            broken.push_back({of.name, std::move(what), requests});
+            violations.push_back({of.name, std::move(what), requests});
         }
     };
     for (const ClassTally &of : tally.classes()) {
@@ -159,7 +159,7 @@
             expectNone(of, "callers without an answer", of.count(CallerOutcome::NoAnswer));
         }
     }
-    return broken;
+    return violations;
 }
 
 } // namespace Rhubarbwind
