--- a/src/standins/answertext.cpp
+++ b/src/standins/answertext.cpp
@@ -1,7 +1,6 @@
 #include "standins/answertext.h"
 
-// A token is "<run>:<number>:<hash> ", all in hex but the number, closed by a space so that tokens can be told
-// apart whatever chunks they arrive in.
+// A token is "<run>:<number>:<hash> ", all in hex except the number. The closing space separates tokens however the text is split into chunks.
 
 #include <xxhash.h>
 
@@ -20,8 +19,8 @@
 constexpr std::string_view markerClose = "]]";
 constexpr std::string_view markerId = " id=";
 constexpr std::string_view markerReproducible = " reproducible";
-/** Longest token text: eight hex digits, ten digits, eight hex digits and the separators. */
-constexpr std::size_t longestToken = 32;
+/** Maximum length of a token: eight hex digits, ten digits, eight hex digits and the separators. */
+constexpr std::size_t maxTokenLength = 32;
 
 std::uint64_t digestOf(std::string_view text, std::uint64_t seed)
 {
@@ -34,7 +33,7 @@
     return static_cast<std::uint32_t>(XXH3_64bits(input.data(), sizeof(input)));
 }
 
-/** Reads a whole number from the front and drops it and one separator. */
+/** Parses a number at the front and removes it together with one separator. */
 std::optional<std::uint32_t> takeNumber(std::string_view &text, int base)
 {
     std::uint32_t value = 0;
@@ -104,7 +103,7 @@
 
 std::string answerToken(const AnswerKey &key, std::uint32_t number)
 {
-    std::array<char, longestToken> text{};
+    std::array<char, maxTokenLength> text{};
     const int length = std::snprintf(text.data(), text.size(), "%x:%u:%x ", key.run, number, tokenHash(key, number));
     return {text.data(), static_cast<std::size_t>(length)};
 }
@@ -136,7 +135,7 @@
         const std::size_t space = text.find(' ');
         m_partial += text.substr(0, space);
         if (space == std::string_view::npos) {
-            return m_partial.size() > longestToken ? Result<void, AnswerFault>(AnswerFault::Malformed) : success();
+            return m_partial.size() > maxTokenLength ? Result<void, AnswerFault>(AnswerFault::Malformed) : success();
         }
         text.remove_prefix(space + 1);
         const std::string token = std::move(m_partial);
--- a/src/standins/endpoints_test.cpp
+++ b/src/standins/endpoints_test.cpp
@@ -11,7 +11,7 @@
 namespace Http = boost::beast::http;
 using boost::asio::ip::tcp;
 
-/** Reached only by a hang. */
+/** Only a hang reaches this limit. */
 constexpr Duration hangLimit = 20s;
 const tcp::endpoint anyPort(boost::asio::ip::make_address("127.0.0.1"), 0);
 
@@ -22,7 +22,7 @@
     bool broken = false;
 };
 
-/** One engine and one service on port 0, and a caller in the same io_context. */
+/** One engine, one service and a caller in the same io_context; the servers use ports chosen by the system. */
 class EndpointFixture
 {
 public:
@@ -105,7 +105,7 @@
         REQUIRE(exchange->done);
         return exchange;
     }
-    /** Waits until so many runs are in the batch and in the queue. */
+    /** Waits until the given numbers of runs are in the batch and in the queue. */
     void awaitRuns(std::uint64_t running, std::uint64_t waiting)
     {
         const TimePoint limit = SteadyClock::now() + hangLimit;
@@ -165,10 +165,10 @@
     CHECK(text.ends_with("data: [DONE]\n\n"));
 }
 
-TEST_CASE_METHOD(EndpointFixture, "engine: a stream resumes after an event, to the same bytes as the original", "[endpoint-contract]")
+TEST_CASE_METHOD(EndpointFixture, "engine: a stream resumes after any event with the same bytes as the original", "[endpoint-contract]")
 {
-    // The caller's connection breaks in mid-stream; the router opens another and names the last event it has.
-    // The engine goes on from there. A token skipped or given twice would change the caller's answer.
+    // The connection breaks during a stream; the router opens another and sends the id of the last event it received. Failure: a token that the engine
+    // skips or sends twice changes the caller's answer.
     const std::string whole = finish(startRun("r.1", 9))->response.body();
     for (std::uint32_t after = 0; after <= 9; ++after) {
         const std::shared_ptr<Exchange> resumed = engine(Http::verb::get, "/v1/streams/r.1", {}, {{"Last-Event-ID", std::to_string(after)}});
@@ -188,7 +188,7 @@
     CHECK(checker.isWhole());
 }
 
-TEST_CASE_METHOD(EndpointFixture, "engine: refusals say that nothing was started", "[endpoint-contract]")
+TEST_CASE_METHOD(EndpointFixture, "engine: refusals state that nothing was started", "[endpoint-contract]")
 {
     startRun("a.1", endless);
     awaitRuns(1, 0);
@@ -220,7 +220,7 @@
     CHECK(jsonOf(engine(Http::verb::get, "/standin/counters")).at("runs").to_number<int>() == 2);
 }
 
-TEST_CASE_METHOD(EndpointFixture, "engine: cancel tells whether the run had started", "[endpoint-contract]")
+TEST_CASE_METHOD(EndpointFixture, "engine: cancel reports whether the run had started", "[endpoint-contract]")
 {
     const std::shared_ptr<Exchange> stream = startRun("a.1", endless);
     awaitRuns(1, 0);
@@ -239,7 +239,7 @@
     CHECK(engine(Http::verb::delete_, "/v1/streams/unknown")->response.result_int() == 404);
 }
 
-TEST_CASE_METHOD(EndpointFixture, "engine: orders, state and load have the published shapes", "[endpoint-contract]")
+TEST_CASE_METHOD(EndpointFixture, "engine: orders, state and load have the published formats", "[endpoint-contract]")
 {
     const auto order = [this](int fencing) {
         return engine(
@@ -262,7 +262,7 @@
     CHECK(numberMember(events, "next", 0) == 3);
 }
 
-TEST_CASE_METHOD(EndpointFixture, "engine: bad requests harm no other and run nothing", "[endpoint-contract]")
+TEST_CASE_METHOD(EndpointFixture, "engine: bad requests run nothing and do not affect other requests", "[endpoint-contract]")
 {
     const std::shared_ptr<Exchange> stream = startRun("a.1", 50);
     for (const char *body : {"", "{", "[]", "{}", R"({"messages":{}})", R"({"messages":[1]})"}) {
@@ -295,7 +295,7 @@
     CHECK(counters.at("ids").at("lost.1").at(0).to_number<int>() == 1);
 }
 
-TEST_CASE_METHOD(EndpointFixture, "engine faults: a prompt that ends the engine that begins to run it", "[endpoint-contract]")
+TEST_CASE_METHOD(EndpointFixture, "engine faults: a prompt that crashes the engine that starts to run it", "[endpoint-contract]")
 {
     engine(Http::verb::post, "/standin/faults", R"({"crash_on_start_of":"fatal"})");
     CHECK_FALSE(finish(startRun("harmless", 3))->broken);
--- a/src/standins/engineanswers.cpp
+++ b/src/standins/engineanswers.cpp
@@ -11,9 +11,9 @@
 
 namespace Http = boost::beast::http;
 
-constexpr std::size_t longestId = 256;
+constexpr std::size_t maxIdLength = 256;
 
-std::string_view cacheNewsName(CacheUpdateKind kind)
+std::string_view cacheUpdateKindName(CacheUpdateKind kind)
 {
     switch (kind) {
     case CacheUpdateKind::Stored:
@@ -71,7 +71,7 @@
     const auto isPlain = [](char letter) {
         return std::isalnum(static_cast<unsigned char>(letter)) != 0 || letter == '.' || letter == '-' || letter == '_' || letter == ':';
     };
-    return id.size() <= longestId && std::all_of(id.begin(), id.end(), isPlain);
+    return id.size() <= maxIdLength && std::all_of(id.begin(), id.end(), isPlain);
 }
 
 EngineDuty readOrder(const boost::json::object &body)
@@ -110,12 +110,12 @@
             {"fencing", duty.fencing}};
 }
 
-boost::json::object cacheEventsAnswer(const std::vector<CacheUpdate> &news, std::uint64_t after)
+boost::json::object cacheEventsAnswer(const std::vector<CacheUpdate> &updates, std::uint64_t after)
 {
     boost::json::array events;
     std::uint64_t next = after;
-    for (const CacheUpdate &item : news) {
-        events.push_back(boost::json::object{{"sequence", item.sequence}, {"kind", cacheNewsName(item.kind)}, {"block", digestHex(item.block)}});
+    for (const CacheUpdate &item : updates) {
+        events.push_back(boost::json::object{{"sequence", item.sequence}, {"kind", cacheUpdateKindName(item.kind)}, {"block", digestHex(item.block)}});
         next = item.sequence;
     }
     return {{"events", std::move(events)}, {"next", next}};
@@ -139,7 +139,7 @@
 
 std::string tokenEvent(const EngineRun &run, const std::string &model, std::uint32_t number)
 {
-    // Written by hand: ids and token texts hold nothing that JSON escapes, and this runs for every token.
+    // Formatted without the JSON library for speed, since this runs for every token. Ids and token texts need no escaping.
     std::string text = "id: " + std::to_string(number) + "\ndata: {\"id\":\"" + run.id + "\",\"object\":\"chat.completion.chunk\",\"model\":\"";
     text += model;
     text += "\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"";
@@ -158,7 +158,7 @@
     StandinHeaders refused = headers;
     refused.emplace_back("X-Not-Started", "true");
     switch (refusal) {
-    case EngineRefusal::HoldsId:
+    case EngineRefusal::DuplicateId:
         return errorReply(Http::status::conflict, "request id is held", std::move(refused));
     case EngineRefusal::QueueFull:
         return errorReply(Http::status::too_many_requests, "queue is full", std::move(refused));
--- a/src/standins/enginemodel.cpp
+++ b/src/standins/enginemodel.cpp
@@ -1,8 +1,8 @@
 #include "standins/enginemodel.h"
 
-// Step-wise continuous batching with chunked prefill, as published for Orca and Sarathi: iteration-level
-// scheduling keeps runs independent, and a bounded share of each step for prompts keeps tokens flowing. A model
-// with one fixed time a run would be simpler, but hides that a router's own choices change every run's speed.
+// Continuous batching with chunked prefill, as published for Orca and Sarathi: iteration-level scheduling keeps runs independent, and the bounded share
+// of prompts in each step lets all runs progress. A model with one fixed time per run would be simpler, but would hide that the router's choices
+// change the speed of every run.
 
 #include <algorithm>
 #include <utility>
@@ -13,9 +13,9 @@
 namespace
 {
 
-/** A process that was stopped does not catch up on more than this: the tokens of the pause were never made. */
-constexpr Duration longestCatchUp = 1s;
-/** Memory kept free at admission, so that a new run does not push another out at once. */
+/** After a pause of the process, at most this time is caught up; no tokens are produced for the rest of the pause. */
+constexpr Duration maxCatchUp = 1s;
+/** Memory reserved at admission, so that a new run does not preempt another at once. */
 constexpr std::uint64_t memoryHeadroomTokens = 64;
 
 std::uint32_t promptTokensOf(std::string_view text)
@@ -39,7 +39,7 @@
         finishLoading();
     }
     while (m_stepEnd && *m_stepEnd <= now) {
-        const TimePoint end = std::max(*m_stepEnd, now - longestCatchUp);
+        const TimePoint end = std::max(*m_stepEnd, now - maxCatchUp);
         m_stepEnd.reset();
         endStep(end, tokens);
         beginStep(end);
@@ -65,7 +65,7 @@
 Result<void, EngineRefusal> EngineModel::submit(const EnginePrompt &prompt, TimePoint now)
 {
     if (m_runs.contains(prompt.id)) {
-        return EngineRefusal::HoldsId;
+        return EngineRefusal::DuplicateId;
     }
     if (m_draining) {
         return EngineRefusal::Draining;
@@ -92,8 +92,8 @@
     run.arrival = ++m_arrivals;
     run.promptTokens = promptTokens;
     run.prefillRemaining = promptTokens;
-    const std::uint64_t room = m_options.kvTokens - promptTokens;
-    run.answerTokens = static_cast<std::uint32_t>(std::min<std::uint64_t>({marker.tokens, prompt.maxTokens, room}));
+    const std::uint64_t available = m_options.kvTokens - promptTokens;
+    run.answerTokens = static_cast<std::uint32_t>(std::min<std::uint64_t>({marker.tokens, prompt.maxTokens, available}));
     run.blocks = cacheBlocks(prompt.text);
     m_waiting.insert(keyOf(run));
     if (!m_stepEnd) {
@@ -197,7 +197,7 @@
         used += run.memoryTokens();
         m_waiting.erase(m_waiting.begin());
         const std::size_t reused = m_cache.reuse(run.blocks) * cacheBlockBytes / promptBytesPerToken;
-        // At least one prompt token is computed, since the first answer token comes out of it.
+        // At least one prompt token must be computed, since it yields the first answer token.
         const std::uint32_t reusedTokens = std::min<std::uint32_t>(static_cast<std::uint32_t>(reused), run.prefillRemaining - 1);
         run.prefillRemaining -= reusedTokens;
         run.cachedTokens = run.started ? run.cachedTokens : reusedTokens;
@@ -213,13 +213,13 @@
 Duration EngineModel::planPrefill()
 {
     std::uint32_t budget = m_options.prefillTokensPerStep;
-    std::uint32_t taken = 0;
+    std::uint32_t total = 0;
     for (EngineRun *run : m_batch) {
         run->prefillNow = std::min(run->prefillRemaining, budget);
         budget -= run->prefillNow;
-        taken += run->prefillNow;
+        total += run->prefillNow;
     }
-    return m_options.prefillPerToken * taken;
+    return m_options.prefillPerToken * total;
 }
 
 void EngineModel::endStep(TimePoint end, std::vector<EngineToken> &tokens)
@@ -234,13 +234,13 @@
         if (wasPrefilling) {
             m_cache.store(run->blocks, end);
         }
-        giveToken(*run, end, tokens);
+        emitToken(*run, end, tokens);
     }
     std::erase_if(m_batch, [](const EngineRun *run) { return run->hasEnded(); });
-    relieveMemory();
+    preemptForMemory();
 }
 
-void EngineModel::giveToken(EngineRun &run, TimePoint now, std::vector<EngineToken> &tokens)
+void EngineModel::emitToken(EngineRun &run, TimePoint now, std::vector<EngineToken> &tokens)
 {
     ++run.generated;
     const bool last = run.generated == run.answerTokens;
@@ -250,7 +250,7 @@
     }
 }
 
-void EngineModel::relieveMemory()
+void EngineModel::preemptForMemory()
 {
     while (m_batch.size() > 1 && memoryUsed() > m_options.kvTokens) {
         const auto last = std::max_element(m_batch.begin(), m_batch.end(), [](EngineRun *left, EngineRun *right) { return keyOf(*left) < keyOf(*right); });
--- a/src/standins/enginemodel.h
+++ b/src/standins/enginemodel.h
@@ -1,16 +1,15 @@
 #pragma once
 
-// A model engine's behaviour without its sockets: continuous batching, prefix cache, memory, orders, load reports.
+// Models an engine without sockets: continuous batching, prefix cache, memory, orders and load reports.
 //
-// Events with a time go in, tokens come out. The engine works in steps: each step takes a base time, a part for
-// every run in the batch and a part for the prompt tokens it prefills, and gives every run whose prompt is done
-// one token. So the time between tokens rises with the batch and with other callers' prompts. Waiting runs enter
-// the batch at the start of a step in order of priority, then arrival, while there is a slot and memory; the
-// first that does not fit holds up those behind it. When memory runs out in mid-step the last in that order goes
-// back to the queue and prefills again; its tokens so far stay given.
+// The engine works in steps. Each step takes a base time, plus time for every run in the batch and for the prompt tokens that it prefills, and
+// produces one token for every run whose prompt is done. The time between tokens therefore rises with the batch and with other callers' prompts.
+// Waiting runs enter the batch at the start of a step by priority, then arrival, while a slot and memory are free; the first that does not fit
+// blocks those behind it. When memory runs out during a step, the last run in that order is preempted: it returns to the queue and prefills again,
+// but keeps the tokens that it has produced.
 //
-// Usage: call advance(now) before anything else at `now`, and again at nextEvent().
-// Bounds: queueLimit waiting runs, slots running, maxRetainedRuns ended ones that can still be resumed.
+// Usage: call advance(now) before any other call at `now`, and again at nextEvent().
+// Limits: queueLimit waiting runs, `slots` running ones, and maxRetainedRuns ended ones that can still be resumed.
 
 #include "base/random.h"
 #include "base/result.h"
@@ -35,9 +34,9 @@
 {
     std::uint32_t slots = 16;
     Duration baseToken = 20ms; ///< a step with an empty batch
-    Duration perBatchToken = 2ms; ///< added by each run of the batch
+    Duration perBatchToken = 2ms; ///< added for each run in the batch
     Duration prefillPerToken = 60us;
-    std::uint32_t prefillTokensPerStep = 512; ///< most prompt tokens one step takes in
+    std::uint32_t prefillTokensPerStep = 512; ///< maximum of prompt tokens per step
     double speed = 1.0; ///< 2.0 halves every step
     std::uint64_t kvTokens = 65'536;
     std::size_t queueLimit = 64;
@@ -52,20 +51,20 @@
 
 struct EnginePrompt
 {
-    std::string id; ///< X-Request-Id; names the stream
+    std::string id; ///< X-Request-Id; identifies the stream
     std::string text;
-    std::int32_t priority = 0; ///< smaller goes first
+    std::int32_t priority = 0; ///< smaller runs first
     std::uint32_t maxTokens = maxAnswerTokens;
 };
 
-/** Why the engine did not take a run; none of these has started anything. */
+/** Why the engine refused a run. The run has not started in any of these cases. */
 enum class EngineRefusal : std::uint8_t {
-    HoldsId, ///< a run with this id waits, runs or is held
+    DuplicateId, ///< a run with this id waits, runs or is retained
     QueueFull,
     Draining,
     Loading,
-    Refusing, ///< the fault of that name
-    PromptTooLong, ///< more than the engine's memory
+    Refusing, ///< the fault `refuse` is set
+    PromptTooLong, ///< does not fit in the engine's memory
 };
 
 enum class EngineRunState : std::uint8_t {
@@ -87,7 +86,7 @@
     std::uint32_t promptTokens = 0;
     std::uint32_t cachedTokens = 0;
     std::uint32_t prefillRemaining = 0;
-    std::uint32_t prefillNow = 0; ///< taken in by the present step
+    std::uint32_t prefillNow = 0; ///< prefilled in the current step
     std::uint32_t answerTokens = 0;
     std::uint32_t generated = 0;
     std::vector<std::uint64_t> blocks;
@@ -103,7 +102,7 @@
     }
 };
 
-/** One token that a step gave. */
+/** One token that a step produced. */
 struct EngineToken
 {
     std::string id;
@@ -132,7 +131,7 @@
     Duration age{};
 };
 
-/** What an order asks for and the state reports. */
+/** What an order requests and the state reports. */
 struct EngineDuty
 {
     std::string model;
@@ -157,18 +156,18 @@
 public:
     EngineModel(const EngineOptions &options, EngineDuty duty);
 
-    /** Everything that happened up to now, in order. */
+    /** Runs the model up to `now`. @return the tokens produced, in order */
     std::vector<EngineToken> advance(TimePoint now);
-    /** When advance() has something to do next; none while idle. */
+    /** Time of the next change that advance() has to process; none while idle. */
     std::optional<TimePoint> nextEvent() const;
 
     /** Ids of the runs that entered the batch for the first time since the last call. */
     std::vector<std::string> takeStarted();
 
     Result<void, EngineRefusal> submit(const EnginePrompt &prompt, TimePoint now);
-    /** None when the id is unknown. */
+    /** @return none if the id is unknown */
     std::optional<CancelAnswer> cancel(const std::string &id, TimePoint now);
-    /** A run that waits, runs or is still held; null otherwise. */
+    /** A run that waits, runs or is still retained; null otherwise. */
     const EngineRun *find(const std::string &id) const;
 
     Result<void, OrderError> order(const EngineDuty &duty, TimePoint now);
@@ -198,7 +197,7 @@
         return m_faults;
     }
 
-    /** As of about loadLag ago. */
+    /** The load as sampled about loadLag ago. */
     EngineLoad reportedLoad(TimePoint now) const;
     const PrefixCache &cache() const
     {
@@ -236,8 +235,8 @@
     void admit();
     Duration planPrefill();
     void endStep(TimePoint end, std::vector<EngineToken> &tokens);
-    void giveToken(EngineRun &run, TimePoint now, std::vector<EngineToken> &tokens);
-    void relieveMemory();
+    void emitToken(EngineRun &run, TimePoint now, std::vector<EngineToken> &tokens);
+    void preemptForMemory();
     void endRun(EngineRun &run, EngineRunState state, TimePoint now);
     void finishLoading();
     void evictEnded(TimePoint now);
--- a/src/standins/enginemodel_test.cpp
+++ b/src/standins/enginemodel_test.cpp
@@ -31,7 +31,7 @@
     return {id, std::string(padding, 'x') + markerText(marker), priority, maxAnswerTokens};
 }
 
-/** Runs the engine until it is idle; every token in order. */
+/** Runs the engine until it is idle; returns every token in order. */
 std::vector<EngineToken> runUntilIdle(EngineModel &engine)
 {
     std::vector<EngineToken> all;
@@ -51,10 +51,10 @@
         EngineModel engine(smallEngine(), {});
         TimePoint now = ManualClock::now();
         std::map<std::string, std::uint32_t> wanted;
-        std::map<std::string, std::uint32_t> got;
+        std::map<std::string, std::uint32_t> received;
         const auto take = [&](const std::vector<EngineToken> &tokens) {
             for (const EngineToken &token : tokens) {
-                RC_ASSERT(token.number == ++got[token.id]);
+                RC_ASSERT(token.number == ++received[token.id]);
                 RC_ASSERT((!token.last || token.number == wanted[token.id]));
             }
         };
@@ -65,7 +65,7 @@
             const std::string id = std::to_string(*rc::gen::inRange(0, 20));
             if (*rc::gen::inRange(0, 4) == 0) {
                 if (engine.cancel(id, now)) {
-                    wanted[id] = got[id];
+                    wanted[id] = received[id];
                 }
             } else {
                 const std::uint32_t tokens = *rc::gen::inRange<std::uint32_t>(1, 30);
@@ -78,7 +78,7 @@
         }
         take(runUntilIdle(engine));
         for (const auto &[id, tokens] : wanted) {
-            RC_ASSERT(got[id] == tokens);
+            RC_ASSERT(received[id] == tokens);
         }
     });
 }
@@ -109,7 +109,7 @@
     });
 }
 
-TEST_CASE("the time between tokens rises with the batch, with others' prompts and with a straggler", "[engine-model]")
+TEST_CASE("the time between tokens rises with the batch, with other runs' prompts and with the straggler fault", "[engine-model]")
 {
     EngineOptions options;
     options.prefillTokensPerStep = 100;
@@ -144,7 +144,7 @@
     CHECK(engine.find("b")->cachedTokens == 1024 / promptBytesPerToken);
 }
 
-TEST_CASE("cache events come late and with gaps, and what comes is in order", "[engine-model]")
+TEST_CASE("cache events are delayed and may be lost, but are in order", "[engine-model]")
 {
     PrefixCacheOptions options;
     options.capacity = 100;
@@ -155,10 +155,10 @@
         cache.store(std::vector<std::uint64_t>{block}, start);
     }
     CHECK(cache.updatesAfter(0, 1000, start + options.updateLag - 1us).empty());
-    const std::vector<CacheUpdate> news = cache.updatesAfter(0, 1000, start + options.updateLag);
-    CHECK(news.size() < 300);
-    CHECK(news.size() > 150);
-    CHECK(std::is_sorted(news.begin(), news.end(), [](const CacheUpdate &left, const CacheUpdate &right) { return left.sequence < right.sequence; }));
+    const std::vector<CacheUpdate> updates = cache.updatesAfter(0, 1000, start + options.updateLag);
+    CHECK(updates.size() < 300);
+    CHECK(updates.size() > 150);
+    CHECK(std::is_sorted(updates.begin(), updates.end(), [](const CacheUpdate &left, const CacheUpdate &right) { return left.sequence < right.sequence; }));
     CHECK(cache.reuse(std::vector<std::uint64_t>{100}) == 0);
     CHECK(cache.reuse(std::vector<std::uint64_t>{101}) == 1);
 }
@@ -195,9 +195,9 @@
     CHECK(engine.duty().version == (checks ? "2" : "3"));
 }
 
-TEST_CASE("an answer checker finds what is missing, foreign or spliced", "[engine-model]")
+TEST_CASE("an answer checker detects missing, foreign or spliced tokens", "[engine-model]")
 {
-    // A caller that gets a wrong answer must see it, else the load tool would report every fault as a success.
+    // Failure: if a caller does not detect a wrong answer, the load tool reports faults as successes.
     const std::string prompt = "question [[len=3 id=q]]";
     const AnswerMarker marker = readMarker(prompt);
     const AnswerKey one = answerKey(prompt, marker, "run1");
--- a/src/standins/engineserver.cpp
+++ b/src/standins/engineserver.cpp
@@ -1,7 +1,7 @@
 #include "standins/engineserver.h"
 
-// The server holds no token text: what a reader has not yet got is made again from the run's answer key, so a
-// resume from any offset costs no memory. Readers are removed as soon as a write to them fails; the run goes on.
+// The server stores no token text: tokens that a reader lacks are generated again from the run's answer key, so a resume at any offset needs no memory.
+// A reader is removed as soon as a write to it fails; the run continues.
 
 #include "standins/engineanswers.h"
 #include "standins/requesttarget.h"
@@ -206,8 +206,8 @@
 StandinReply EngineServer<ClockType>::cacheEventsReply(std::string_view target) const
 {
     const std::uint64_t after = RequestTarget(target).number("after");
-    const std::vector<CacheUpdate> news = m_model.cache().updatesAfter(after, cacheEventsPerAnswer, ClockType::now());
-    return jsonReply(Http::status::ok, cacheEventsAnswer(news, after), headers());
+    const std::vector<CacheUpdate> updates = m_model.cache().updatesAfter(after, cacheEventsPerAnswer, ClockType::now());
+    return jsonReply(Http::status::ok, cacheEventsAnswer(updates, after), headers());
 }
 
 template <Clock ClockType>
--- a/src/standins/platformcontract_test.cpp
+++ b/src/standins/platformcontract_test.cpp
@@ -1,5 +1,5 @@
-// Contract tests: the clients of the platform against the stand-in, over real sockets on loopback. Time limits
-// run on the manual clock, so that no verdict depends on how fast the machine is.
+// Contract tests: the platform's clients against the stand-in, over real sockets on loopback. Time limits use the manual clock, so that no result depends
+// on the speed of the machine.
 
 #include "platform/objectclient.h"
 #include "platform/platformsequence.h"
@@ -34,7 +34,7 @@
         client.emplace(connections);
     }
 
-    /** Runs until the result is there; fails on a hang. */
+    /** Runs until there is a result; fails on a hang. */
     template <class T>
     T await(const std::optional<T> &result)
     {
@@ -116,10 +116,10 @@
     bench.client->remove("preset/in-force", WriteCondition::atVersion(second), Bench::into(removed));
     CHECK(bench.await(removed).value() > second);
     CHECK(bench.get("preset/in-force").error().kind == PlatformErrorKind::NotFound);
-    CHECK(bench.server->counters().connections == 1); // kept alive throughout
+    CHECK(bench.server->counters().connections == 1); // the connection stays open throughout
 }
 
-TEST_CASE("a value over the platform's bound and a bad key are refused", "[contract]")
+TEST_CASE("a value over the platform's limit and a bad key are refused", "[contract]")
 {
     Bench bench;
     CHECK(bench.put("big", std::string(1'000'001, 'x'), WriteCondition::absent()).error().kind == PlatformErrorKind::Refused);
@@ -142,7 +142,7 @@
     CHECK(objects[1].value == "ledger/s/2");
 }
 
-TEST_CASE("a watch tells changes of its prefix at once, and ends empty after its wait", "[contract]")
+TEST_CASE("a watch reports changes of its prefix at once, and ends empty after its wait", "[contract]")
 {
     Bench bench;
     const ObjectVersion first = bench.put("preset/a", "1", WriteCondition::absent()).value();
@@ -159,7 +159,7 @@
     CHECK(batch.next == third);
 }
 
-TEST_CASE("a watch from before the platform's log is answered by a listing", "[contract]")
+TEST_CASE("a watch from before the platform's log gets a listing", "[contract]")
 {
     Bench bench;
     bench.server->store() = PlatformStore(2);
@@ -171,7 +171,7 @@
     CHECK(batch.next == 5);
 }
 
-TEST_CASE("each fault of the platform ends a read and a write in its type", "[contract]")
+TEST_CASE("each fault of the platform ends a read and a write with its error kind", "[contract]")
 {
     struct Row
     {
@@ -214,7 +214,7 @@
     CHECK(bench.get("a").value().value == "1"); // the pool recovers
 }
 
-TEST_CASE("a refused connection is Unreachable, for nothing was sent", "[contract]")
+TEST_CASE("a refused connection is Unreachable, since nothing was sent", "[contract]")
 {
     Bench bench;
     bench.server->stop();
@@ -222,8 +222,8 @@
     CHECK(bench.watch("a", 0, 1s).error().kind == PlatformErrorKind::Unreachable);
 }
 
-// The host's watch hears nothing although the platform is well. First the connection falls silent, then the
-// watch's own wait passes. Without a limit of its own the client would wait for ever, because TCP sees no fault.
+// A host's watch receives nothing although the platform works: the connection becomes silent, then the watch's wait time passes. Failure: without its own
+// limit the client waits forever, because TCP reports no fault.
 TEST_CASE("a silent watch ends after its wait and grace, and delays no other call", "[contract]")
 {
     Bench bench;
@@ -239,8 +239,8 @@
     CHECK(bench.await(watched).error().kind == PlatformErrorKind::Unknown);
 }
 
-// A host's watch waits without news when another host puts a preset in force. The write must wake it: a watch
-// that is answered only at the end of its wait, here longer than a hang's limit, would show the change late.
+// A host's watch is waiting when another host puts a preset in force, and the write must wake it. Failure: a watch that is answered only at the end of its
+// wait, here longer than hangLimit, reports the change late.
 TEST_CASE("a write answers a watch that waits for it, and no watch of another prefix", "[contract]")
 {
     Bench bench;
@@ -251,14 +251,14 @@
     bench.runUntil([&] { return bench.server->counters().watches == 2; });
     CHECK_FALSE(watched);
     const ObjectVersion version = bench.put("preset/a", "1", WriteCondition::absent()).value();
-    const WatchBatch news = bench.await(watched).value();
-    REQUIRE(news.events.size() == 1);
-    CHECK(news.events[0].key == "preset/a");
-    CHECK(news.next == version);
+    const WatchBatch updates = bench.await(watched).value();
+    REQUIRE(updates.events.size() == 1);
+    CHECK(updates.events[0].key == "preset/a");
+    CHECK(updates.next == version);
     CHECK_FALSE(other);
 }
 
-TEST_CASE("repeated and skipped watch events still leave a revision to go on from", "[contract]")
+TEST_CASE("repeated and skipped watch events still leave a revision to continue from", "[contract]")
 {
     Bench bench;
     const ObjectVersion first = bench.put("preset/a", "1", WriteCondition::absent()).value();
@@ -273,7 +273,7 @@
     CHECK(skipped.next == second);
 }
 
-TEST_CASE("a version that went back is handed on as it is", "[contract]")
+TEST_CASE("a version that went back is returned unchanged", "[contract]")
 {
     Bench bench;
     const ObjectVersion first = bench.put("preset/a", "1", WriteCondition::absent()).value();
@@ -282,7 +282,7 @@
     CHECK(bench.get("preset/a").value().version == first);
 }
 
-TEST_CASE("calls over this host's part of the rates are not sent", "[contract]")
+TEST_CASE("calls over this host's share of the rates are not sent", "[contract]")
 {
     Bench bench;
     bench.options.rates = {2, 2, 1, 1};
@@ -296,7 +296,7 @@
     CHECK(bench.get("a").has_value());
 }
 
-TEST_CASE("calls that find no connection in time end Unreachable, and the queue is bounded", "[contract]")
+TEST_CASE("calls that get no connection in time end Unreachable, and the queue is bounded", "[contract]")
 {
     Bench bench;
     bench.options.maxConnections = 1;
@@ -317,9 +317,8 @@
     CHECK(bench.server->store().find("b") == nullptr);
 }
 
-// Calls end well although the platform closed the connections while they were idle. First the platform restarts,
-// then the client calls again. Without a look at the connection before its use the write would be sent into the
-// void and end Unknown, which no fault of that moment explains.
+// The platform restarts and thereby closes idle connections, then the client calls again. Failure: if the client does not check a connection before using
+// it, the write is lost and ends Unknown, although the platform works at that time.
 TEST_CASE("calls survive the loss of idle connections", "[contract]")
 {
     const bool writeFirst = GENERATE(true, false);
@@ -339,9 +338,9 @@
     CHECK(bench.get("a").value().value == "1");
 }
 
-// The platform closes a connection just as it is used again. A read is tried once more on a fresh connection,
-// since reading twice changes nothing. A write is not: it may have taken effect, and only its caller can tell.
-TEST_CASE("a read cut off on a reused connection is tried once more, a write never", "[contract]")
+// The platform closes a connection just as it is reused. A read is retried once on a new connection, since reading twice has no effect. A write is not: it
+// may have taken effect, and only its caller can find out.
+TEST_CASE("a read that breaks on a reused connection is retried once, a write never", "[contract]")
 {
     Bench bench;
     REQUIRE(bench.put("a", "1", WriteCondition::absent()).has_value());
@@ -367,8 +366,8 @@
     CHECK(found[0].port == 7000);
 }
 
-// The caller of a conditional write gets a plain answer although the platform loses answers. Each put may take
-// effect and lose its answer; the session reads back until it knows.
+// The caller of a conditional write gets a definite result although the platform loses answers. Each put may take effect and lose its answer; the session
+// reads the object back until the result is known.
 TEST_CASE("a resolved write ends applied over lost answers", "[contract]")
 {
     Bench bench;
--- a/src/standins/platformserver.cpp
+++ b/src/standins/platformserver.cpp
@@ -1,8 +1,8 @@
-// The shared HTTP connection hands each request to a PlatformCall, which asks the PlatformApi for the answer. The
-// effect of a call happens when it is read; faults then decide whether and when its answer is written.
+// The HTTP connection passes each request to a PlatformCall, which gets the answer from the PlatformApi. A call takes effect when it is read; faults then
+// decide whether and when its answer is written.
 //
-// A watch without news parks its call; each write wakes every parked call, which looks again. Only calls that
-// wait (watches and late answers) are listed, so that stop() can cancel their timers.
+// A watch without changes waits; each write wakes every waiting watch, which checks the store again. Only calls that wait (watches and delayed answers)
+// are registered, so that stop() can cancel their timers.
 
 #include "standins/platformserver.h"
 
@@ -27,11 +27,11 @@
 namespace Http = boost::beast::http;
 using boost::system::error_code;
 
-/** Above the largest value, so that the store itself refuses; beyond this the connection answers 413. */
+/** Above the store's maximum value size, so that the store refuses such values itself; larger bodies are answered 413 by the connection. */
 constexpr StandinLimits platformLimits{1'100'000, true};
 constexpr std::uint64_t maxWatchWaitMs = 60'000;
-/** Calls listed before answered ones are swept out; doubles with those that wait, so a sweep stays cheap a call. */
-constexpr std::size_t leastSweep = 64;
+/** Minimum number of registered calls before answered ones are removed. The threshold doubles with the waiting calls, which keeps the cost per call low. */
+constexpr std::size_t minSweepSize = 64;
 
 json::value hostsDocument(json::value hosts)
 {
@@ -50,7 +50,7 @@
 
 } // namespace
 
-/** What all calls share. */
+/** State shared by all calls. */
 class PlatformServer::State : public std::enable_shared_from_this<PlatformServer::State>
 {
 public:
@@ -71,8 +71,8 @@
     void setHosts(json::value hosts);
     PlatformCounters &counters();
 
-    /** Lists a call that waits, for wakeWatches() and stop(). */
-    void keep(const std::shared_ptr<PlatformCall> &call);
+    /** Registers a waiting call for wakeWatches() and stop(). */
+    void registerWaiting(const std::shared_ptr<PlatformCall> &call);
     void wakeWatches();
 
     asio::io_context &m_context;
@@ -82,18 +82,18 @@
 
 private:
     void handle(const StandinRequest &request, const std::shared_ptr<StandinConnection> &connection);
-    /** Answers a control call; these are never subject to faults. */
+    /** Answers a control call; control calls are never subject to faults. */
     StandinReply control(const StandinRequest &request, const RequestTarget &target);
 
     std::vector<std::weak_ptr<PlatformCall>> m_waiting;
-    std::size_t m_sweepAt = leastSweep;
+    std::size_t m_sweepAt = minSweepSize;
     bool m_stopped = false;
 };
 
 namespace
 {
 
-/** One request from its reading to its answer. */
+/** One request, from reading it to its answer. */
 class PlatformCall : public std::enable_shared_from_this<PlatformCall>
 {
 public:
@@ -138,7 +138,7 @@
         answerAfterLatency(std::move(reply));
     }
 
-    /** Looks again whether a parked watch has news. */
+    /** Answers a waiting watch if there are changes for it. */
     void wake()
     {
         if (m_watching && m_state->m_api.store().hasChangeAfter(m_watchPrefix, m_watchAfter)) {
@@ -163,7 +163,7 @@
             return;
         }
         m_watching = true;
-        keepListed();
+        ensureRegistered();
         const std::uint64_t waitMs = std::min<std::uint64_t>(target.number("wait_ms"), maxWatchWaitMs);
         m_timer.expires_after(std::chrono::milliseconds(waitMs));
         m_timer.async_wait([self = shared_from_this()](const error_code &error) {
@@ -195,7 +195,7 @@
             m_connection->reply(std::move(reply));
             return;
         }
-        keepListed();
+        ensureRegistered();
         m_timer.expires_after(latency);
         m_timer.async_wait([self = shared_from_this(), late = std::move(reply)](const error_code &error) mutable {
             if (!error) {
@@ -204,10 +204,10 @@
         });
     }
 
-    void keepListed()
+    void ensureRegistered()
     {
-        if (!std::exchange(m_listed, true)) {
-            m_state->keep(shared_from_this());
+        if (!std::exchange(m_isRegistered, true)) {
+            m_state->registerWaiting(shared_from_this());
         }
     }
 
@@ -217,7 +217,7 @@
     std::string m_watchPrefix;
     std::uint64_t m_watchAfter = 0;
     bool m_watching = false;
-    bool m_listed = false;
+    bool m_isRegistered = false;
 };
 
 } // namespace
@@ -245,8 +245,8 @@
 {
     m_stopped = true;
     m_listener->close();
-    for (const std::weak_ptr<PlatformCall> &held : m_waiting) {
-        if (const std::shared_ptr<PlatformCall> call = held.lock()) {
+    for (const std::weak_ptr<PlatformCall> &weak : m_waiting) {
+        if (const std::shared_ptr<PlatformCall> call = weak.lock()) {
             call->cancel();
         }
     }
@@ -259,20 +259,20 @@
     return m_api.counters();
 }
 
-void PlatformServer::State::keep(const std::shared_ptr<PlatformCall> &call)
+void PlatformServer::State::registerWaiting(const std::shared_ptr<PlatformCall> &call)
 {
     if (m_waiting.size() >= m_sweepAt) {
-        std::erase_if(m_waiting, [](const std::weak_ptr<PlatformCall> &held) { return held.expired(); });
-        m_sweepAt = std::max(leastSweep, 2 * m_waiting.size());
+        std::erase_if(m_waiting, [](const std::weak_ptr<PlatformCall> &weak) { return weak.expired(); });
+        m_sweepAt = std::max(minSweepSize, 2 * m_waiting.size());
     }
     m_waiting.push_back(call);
 }
 
 void PlatformServer::State::wakeWatches()
 {
-    // A woken watch is listed already, so the walk never grows the list.
-    for (const std::weak_ptr<PlatformCall> &held : m_waiting) {
-        if (const std::shared_ptr<PlatformCall> call = held.lock()) {
+    // A woken watch is registered already, so the list does not grow during the loop.
+    for (const std::weak_ptr<PlatformCall> &weak : m_waiting) {
+        if (const std::shared_ptr<PlatformCall> call = weak.lock()) {
             call->wake();
         }
     }
--- a/src/standins/standinhttp.cpp
+++ b/src/standins/standinhttp.cpp
@@ -1,7 +1,7 @@
 #include "standins/standinhttp.h"
 
-// Streams are written as HTTP chunks by hand: events that gather while a write is under way go out as one chunk,
-// so a slow reader costs memory up to the bound and no timer.
+// HTTP chunks of streams are written directly. Events that arrive during a write are buffered and sent by the next one, so a slow reader costs memory up
+// to the limit, and no timer.
 
 #include <algorithm>
 #include <charconv>
@@ -18,7 +18,7 @@
 
 constexpr std::string_view serverName = "rhubarbwind-standin";
 constexpr std::string_view lastChunk = "0\r\n\r\n";
-/** Connections remembered for silenceOpen() before closed ones are swept out. */
+/** Number of registered connections from which closed ones are removed. */
 constexpr std::size_t sweepConnectionsAt = 1024;
 
 std::string chunkOf(std::string_view text)
@@ -52,19 +52,19 @@
     return {value.data(), value.size()};
 }
 
-double numberMember(const boost::json::object &object, std::string_view name, double otherwise)
+double numberMember(const boost::json::object &object, std::string_view name, double defaultValue)
 {
     const boost::json::value *value = object.if_contains(name);
     if (value == nullptr || !value->is_number()) {
-        return otherwise;
+        return defaultValue;
     }
     return value->to_number<double>();
 }
 
-bool flagMember(const boost::json::object &object, std::string_view name, bool otherwise)
+bool flagMember(const boost::json::object &object, std::string_view name, bool defaultValue)
 {
     const boost::json::value *value = object.if_contains(name);
-    return value != nullptr && value->is_bool() ? value->get_bool() : otherwise;
+    return value != nullptr && value->is_bool() ? value->get_bool() : defaultValue;
 }
 
 std::optional<boost::json::object> parseObject(std::string_view text)
