--- a/src/load/report.cpp
+++ b/src/load/report.cpp
@@ -66,9 +66,9 @@
 void printNotRunByTier(std::ostream &out, const Tally &tally)
 {
     std::map<std::uint8_t, std::pair<std::uint64_t, std::uint64_t>> byTier;
-    for (const ClassTally &of : tally.classes()) {
-        byTier[of.tier.level].first += of.count(CallerOutcome::NotRun);
-        byTier[of.tier.level].second += of.sent;
+    for (const ClassTally &row : tally.classes()) {
+        byTier[row.tier.level].first += row.count(CallerOutcome::NotRun);
+        byTier[row.tier.level].second += row.sent;
     }
     out << "not-run by tier:";
     for (const auto &[tier, counts] : byTier) {
@@ -133,8 +133,8 @@
 {
     out << "customers, within targets and not-run of sent:";
     for (std::size_t index = 0; index < mix.customers.size(); ++index) {
-        const CustomerTally &of = tally.customers()[index];
-        out << "  " << mix.customers[index].name << " " << of.attained << "+" << of.notRun << "/" << of.sent;
+        const CustomerTally &row = tally.customers()[index];
+        out << "  " << mix.customers[index].name << " " << row.attained << "+" << row.notRun << "/" << row.sent;
     }
     out << "\n";
 }
@@ -152,8 +152,8 @@
         << "class                tier   sent  attain  whole not-run broken  left  late  slow  ttft50  ttft95  ttft99   itl50   itl95  asked/s   good/s  "
            "deliv/s  wasted  wrong twice "
            "notran\n";
-    for (const ClassTally &of : tally.classes()) {
-        printClass(out, of, std::to_string(of.tier.level), run.elapsed);
+    for (const ClassTally &row : tally.classes()) {
+        printClass(out, row, std::to_string(row.tier.level), run.elapsed);
     }
     const ClassTally total = tally.total();
     printClass(out, total, "", run.elapsed);
@@ -176,37 +176,37 @@
 {
     std::vector<ClassTally> lines = tally.classes();
     lines.push_back(tally.total());
-    for (const ClassTally &of : lines) {
+    for (const ClassTally &row : lines) {
         boost::json::object outcomes;
         for (std::size_t outcome = 0; outcome < callerOutcomes; ++outcome) {
-            outcomes[callerOutcomeName(static_cast<CallerOutcome>(outcome))] = of.outcomes[outcome];
+            outcomes[callerOutcomeName(static_cast<CallerOutcome>(outcome))] = row.outcomes[outcome];
         }
         boost::json::object reasons;
-        for (const auto &[reason, count] : of.reasons) {
+        for (const auto &[reason, count] : row.reasons) {
             reasons[reason] = count;
         }
         const boost::json::object line{{"label", label},
-                                       {"class", of.name},
-                                       {"tier", of.tier.level},
-                                       {"sent", of.sent},
-                                       {"attainment", of.attainment()},
+                                       {"class", row.name},
+                                       {"tier", row.tier.level},
+                                       {"sent", row.sent},
+                                       {"attainment", row.attainment()},
                                        {"outcomes", std::move(outcomes)},
                                        {"reasons", std::move(reasons)},
-                                       {"late_first_token", of.lateFirst},
-                                       {"slow_tokens", of.slowTokens},
-                                       {"inter_token_p95_median_ms", milliseconds(quantileOf(of.interTokens, 0.5))},
-                                       {"first_token_p50_ms", milliseconds(quantileOf(of.firstTokens, 0.5))},
-                                       {"first_token_p95_ms", milliseconds(quantileOf(of.firstTokens, 0.95))},
-                                       {"first_token_p99_ms", milliseconds(quantileOf(of.firstTokens, 0.99))},
-                                       {"first_token_max_ms", milliseconds(quantileOf(of.firstTokens, 1))},
-                                       {"asked_per_s", perSecond(of.requestedTokens, run.elapsed)},
-                                       {"goodput_per_s", perSecond(of.goodTokens, run.elapsed)},
-                                       {"delivered_per_s", perSecond(of.deliveredTokens, run.elapsed)},
-                                       {"generated_tokens", of.generatedTokens},
-                                       {"wasted_tokens", of.wastedTokens()},
-                                       {"runs", of.runs},
-                                       {"duplicates", of.duplicates},
-                                       {"not_run_that_ran", of.notRunThatRan},
+                                       {"late_first_token", row.lateFirst},
+                                       {"slow_tokens", row.slowTokens},
+                                       {"inter_token_p95_median_ms", milliseconds(quantileOf(row.interTokens, 0.5))},
+                                       {"first_token_p50_ms", milliseconds(quantileOf(row.firstTokens, 0.5))},
+                                       {"first_token_p95_ms", milliseconds(quantileOf(row.firstTokens, 0.95))},
+                                       {"first_token_p99_ms", milliseconds(quantileOf(row.firstTokens, 0.99))},
+                                       {"first_token_max_ms", milliseconds(quantileOf(row.firstTokens, 1))},
+                                       {"asked_per_s", perSecond(row.requestedTokens, run.elapsed)},
+                                       {"goodput_per_s", perSecond(row.goodTokens, run.elapsed)},
+                                       {"delivered_per_s", perSecond(row.deliveredTokens, run.elapsed)},
+                                       {"generated_tokens", row.generatedTokens},
+                                       {"wasted_tokens", row.wastedTokens()},
+                                       {"runs", row.runs},
+                                       {"duplicates", row.duplicates},
+                                       {"not_run_that_ran", row.notRunThatRan},
                                        {"endpoints_without_counters", run.endpointsWithoutCounters}};
         out << boost::json::serialize(line) << "\n";
     }
--- a/src/load/tally.cpp
+++ b/src/load/tally.cpp
@@ -144,19 +144,19 @@
 std::vector<GuaranteeViolation> findViolations(const Tally &tally, bool expectWhole)
 {
     std::vector<GuaranteeViolation> violations;
-    const auto expectNone = [&violations](const ClassTally &of, std::string what, std::uint64_t requests) {
+    const auto expectNone = [&violations](const ClassTally &row, std::string what, std::uint64_t requests) {
         if (requests > 0) {
-            violations.push_back({of.name, std::move(what), requests});
+            violations.push_back({row.name, std::move(what), requests});
         }
     };
-    for (const ClassTally &of : tally.classes()) {
-        expectNone(of, "wrong or partial answers", of.count(CallerOutcome::Wrong));
-        expectNone(of, "non-idempotent requests that ran twice", of.duplicates);
-        expectNone(of, "answers `not-run` to requests that ran", of.notRunThatRan);
-        expectNone(of, "requests rejected as bad", of.count(CallerOutcome::Rejected));
+    for (const ClassTally &row : tally.classes()) {
+        expectNone(row, "wrong or partial answers", row.count(CallerOutcome::Wrong));
+        expectNone(row, "non-idempotent requests that ran twice", row.duplicates);
+        expectNone(row, "answers `not-run` to requests that ran", row.notRunThatRan);
+        expectNone(row, "requests rejected as bad", row.count(CallerOutcome::Rejected));
         if (expectWhole) {
-            expectNone(of, "answers that broke", of.count(CallerOutcome::FailedAfterStart) + of.count(CallerOutcome::Unknown));
-            expectNone(of, "callers without an answer", of.count(CallerOutcome::NoAnswer));
+            expectNone(row, "answers that broke", row.count(CallerOutcome::FailedAfterStart) + row.count(CallerOutcome::Unknown));
+            expectNone(row, "callers without an answer", row.count(CallerOutcome::NoAnswer));
         }
     }
     return violations;
