--- a/src/load/caller.cpp
+++ b/src/load/caller.cpp
@@ -13,10 +13,10 @@
 namespace Http = boost::beast::http;
 using boost::system::error_code;
 
-constexpr std::uint64_t largestAnswer = std::uint64_t{32} * 1024 * 1024;
+constexpr std::uint64_t maxAnswerBytes = std::uint64_t{32} * 1024 * 1024;
 constexpr const char *classHeader = "X-Rhubarbwind-Class";
 constexpr const char *outcomeHeader = "X-Rhubarbwind-Outcome";
-/** The statuses of a request that was wrong rather than unlucky; 408, 409 and 429 are not among them. */
+/** Statuses that the request itself causes. 408, 409 and 429 are not among them, since they depend on timing and load. */
 constexpr std::array<unsigned, 8> badRequestStatuses{400, 401, 403, 404, 405, 413, 415, 431};
 
 boost::json::object objectOf(const std::string &text)
@@ -32,7 +32,7 @@
     return value != nullptr && value->is_string() ? std::string(value->get_string()) : std::string();
 }
 
-/** The type of a typed error answer; empty when the body is none. */
+/** The type of a typed error answer; empty for any other body. */
 std::string errorTypeOf(const std::string &body)
 {
     const boost::json::object object = objectOf(body);
@@ -42,7 +42,7 @@
 
 } // namespace
 
-CallerOutcome outcomeNamed(std::string_view name)
+CallerOutcome parseOutcome(std::string_view name)
 {
     if (name == "completed") {
         return CallerOutcome::Completed;
@@ -68,7 +68,7 @@
     , m_stream(context)
     , m_patience(context)
 {
-    m_parser.body_limit(largestAnswer);
+    m_parser.body_limit(maxAnswerBytes);
 }
 
 template <Clock ClockType>
@@ -142,7 +142,7 @@
 void Caller<ClockType>::readSome()
 {
     if (m_parser.is_done()) {
-        m_answer ? judgeStream(true) : takeWhole();
+        m_answer ? evaluateStream(true) : takeWhole();
         return;
     }
     Http::async_read_some(m_stream, m_buffer, m_parser, [self = this->shared_from_this()](const error_code &error, std::size_t) {
@@ -156,7 +156,7 @@
             return;
         }
         if (error) {
-            self->m_answer ? self->judgeStream(false) : self->finish(CallerOutcome::NoAnswer, "broke-in-answer");
+            self->m_answer ? self->evaluateStream(false) : self->finish(CallerOutcome::NoAnswer, "broke-in-answer");
             return;
         }
         self->readSome();
@@ -167,8 +167,8 @@
 void Caller<ClockType>::takeStream()
 {
     const std::string &body = m_parser.get().body();
-    const Result<void, StreamFault> taken = m_answer->take(std::string_view(body).substr(m_taken), ClockType::now());
-    m_taken = body.size();
+    const Result<void, StreamFault> taken = m_answer->take(std::string_view(body).substr(m_consumed), ClockType::now());
+    m_consumed = body.size();
     if (!taken) {
         static constexpr std::array<const char *, 3> names{"bad-event", "bad-event-id", "wrong-token"};
         finish(CallerOutcome::Wrong, names[static_cast<std::size_t>(taken.error())]);
@@ -180,18 +180,18 @@
 }
 
 template <Clock ClockType>
-void Caller<ClockType>::judgeStream(bool ended)
+void Caller<ClockType>::evaluateStream(bool ended)
 {
     if (!m_answer->outcome().empty() && m_answer->outcome() != "completed") {
-        finish(outcomeNamed(m_answer->outcome()), m_answer->errorType());
+        finish(parseOutcome(m_answer->outcome()), m_answer->errorType());
         return;
     }
-    const bool saidComplete = m_answer->outcome() == "completed" || (m_options.direct && m_answer->isWhole());
-    if (saidComplete) {
+    const bool isReportedComplete = m_answer->outcome() == "completed" || (m_options.direct && m_answer->isWhole());
+    if (isReportedComplete) {
         finish(ended && m_answer->isWhole() ? CallerOutcome::Completed : CallerOutcome::Wrong, m_answer->isWhole() ? "" : "partial");
         return;
     }
-    // A stream that ends as if whole, without an outcome, would be taken for a whole one by plain clients.
+    // Ordinary clients would take a stream that ends normally without an outcome for a complete one.
     finish(ended && !m_answer->isWhole() ? CallerOutcome::Wrong : CallerOutcome::NoAnswer, ended ? "ended-without-outcome" : "broke-in-stream");
 }
 
@@ -200,7 +200,7 @@
 {
     const unsigned status = m_parser.get().result_int();
     const std::string &body = m_parser.get().body();
-    const std::string named(m_parser.get()[outcomeHeader]);
+    const std::string outcomeName(m_parser.get()[outcomeHeader]);
     const std::string type = errorTypeOf(body);
     if (status == 409 && type.starts_with("claim")) {
         finish(CallerOutcome::Repeated, type);
@@ -210,21 +210,21 @@
         finish(CallerOutcome::Rejected, type.empty() ? "status-" + std::to_string(status) : type);
         return;
     }
-    if (named.empty() && !(m_options.direct && status == 200)) {
+    if (outcomeName.empty() && !(m_options.direct && status == 200)) {
         finish(CallerOutcome::Rejected, "no-outcome-header");
         return;
     }
-    const CallerOutcome outcome = named.empty() ? CallerOutcome::Completed : outcomeNamed(named);
+    const CallerOutcome outcome = outcomeName.empty() ? CallerOutcome::Completed : parseOutcome(outcomeName);
     if (outcome != CallerOutcome::Completed) {
         finish(outcome, type);
         return;
     }
-    const bool right = status == 200 && m_rule.kind == RequestKind::Service && serviceAnswerIsRight(body);
-    finish(right ? CallerOutcome::Completed : CallerOutcome::Wrong, right ? "" : "other-answer");
+    const bool isCorrect = status == 200 && m_rule.kind == RequestKind::Service && isServiceAnswerCorrect(body);
+    finish(isCorrect ? CallerOutcome::Completed : CallerOutcome::Wrong, isCorrect ? "" : "other-answer");
 }
 
 template <Clock ClockType>
-bool Caller<ClockType>::serviceAnswerIsRight(const std::string &body) const
+bool Caller<ClockType>::isServiceAnswerCorrect(const std::string &body) const
 {
     const boost::json::object answer = objectOf(body);
     return textAt(answer, "id") == m_request.id && textAt(answer, "digest") == digestHex(answerKey(m_message.body(), {}, {}).promptDigest);
--- a/src/load/report.cpp
+++ b/src/load/report.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::size_t longestLine = 512;
+constexpr std::size_t maxLineLength = 512;
 
 double milliseconds(Duration duration)
 {
@@ -22,7 +22,7 @@
     return elapsed > Duration::zero() ? static_cast<double>(count) / toSeconds(elapsed) : 0;
 }
 
-std::uint64_t notWhole(const ClassTally &tally)
+std::uint64_t incompleteAnswers(const ClassTally &tally)
 {
     return tally.count(CallerOutcome::FailedAfterStart) + tally.count(CallerOutcome::Unknown) + tally.count(CallerOutcome::NoAnswer);
 }
@@ -34,7 +34,7 @@
 
 void printClass(std::ostream &out, const ClassTally &tally, const std::string &tier, Duration elapsed)
 {
-    std::array<char, longestLine> line{};
+    std::array<char, maxLineLength> line{};
     std::snprintf(line.data(),
                   line.size(),
                   "%-20s %4s %6llu %7.3f %6llu %7llu %6llu %5llu %5llu %5llu %7.0f %7.0f %7.0f %7.1f %7.1f %8.1f %8.1f %8.1f %6.2f%% %5llu %4llu %5llu\n",
@@ -44,7 +44,7 @@
                   tally.attainment(),
                   static_cast<unsigned long long>(tally.count(CallerOutcome::Completed)),
                   static_cast<unsigned long long>(tally.count(CallerOutcome::NotRun)),
-                  static_cast<unsigned long long>(notWhole(tally)),
+                  static_cast<unsigned long long>(incompleteAnswers(tally)),
                   static_cast<unsigned long long>(tally.count(CallerOutcome::Left)),
                   static_cast<unsigned long long>(tally.lateFirst),
                   static_cast<unsigned long long>(tally.slowTokens),
@@ -53,7 +53,7 @@
                   milliseconds(quantileOf(tally.firstTokens, 0.99)),
                   milliseconds(quantileOf(tally.interTokens, 0.5)),
                   milliseconds(quantileOf(tally.interTokens, 0.95)),
-                  perSecond(tally.askedTokens, elapsed),
+                  perSecond(tally.requestedTokens, elapsed),
                   perSecond(tally.goodTokens, elapsed),
                   perSecond(tally.deliveredTokens, elapsed),
                   100 * wastedShare(tally),
@@ -63,12 +63,12 @@
     out << line.data();
 }
 
-void printShed(std::ostream &out, const Tally &tally)
+void printNotRunByTier(std::ostream &out, const Tally &tally)
 {
     std::map<std::uint8_t, std::pair<std::uint64_t, std::uint64_t>> byTier;
-    for (const ClassTally &of : tally.classes()) {
-        byTier[of.tier.level].first += of.count(CallerOutcome::NotRun);
-        byTier[of.tier.level].second += of.sent;
+    for (const ClassTally &row : tally.classes()) {
+        byTier[row.tier.level].first += row.count(CallerOutcome::NotRun);
+        byTier[row.tier.level].second += row.sent;
     }
     out << "not-run by tier:";
     for (const auto &[tier, counts] : byTier) {
@@ -133,27 +133,31 @@
 {
     out << "customers, within targets and not-run of sent:";
     for (std::size_t index = 0; index < mix.customers.size(); ++index) {
-        const CustomerTally &of = tally.customers()[index];
-        out << "  " << mix.customers[index].name << " " << of.attained << "+" << of.notRun << "/" << of.sent;
+        const CustomerTally &row = tally.customers()[index];
+        out << "  " << mix.customers[index].name << " " << row.attained << "+" << row.notRun << "/" << row.sent;
     }
     out << "\n";
 }
 
 } // namespace
 
-void printTable(
-    std::ostream &out, const std::string &label, const Mix &mix, const Tally &tally, const LoadRunReport &run, const std::vector<BrokenPromise> &broken)
+void printTable(std::ostream &out,
+                const std::string &label,
+                const Mix &mix,
+                const Tally &tally,
+                const LoadRunReport &run,
+                const std::vector<GuaranteeViolation> &violations)
 {
     out << "== " << label << "\n"
         << "class                tier   sent  attain  whole not-run broken  left  late  slow  ttft50  ttft95  ttft99   itl50   itl95  asked/s   good/s  "
            "deliv/s  wasted  wrong twice "
            "notran\n";
-    for (const ClassTally &of : tally.classes()) {
-        printClass(out, of, std::to_string(of.tier.level), run.elapsed);
+    for (const ClassTally &row : tally.classes()) {
+        printClass(out, row, std::to_string(row.tier.level), run.elapsed);
     }
     const ClassTally total = tally.total();
     printClass(out, total, "", run.elapsed);
-    printShed(out, tally);
+    printNotRunByTier(out, tally);
     printCustomers(out, mix, tally);
     out << "reasons:";
     for (const auto &[reason, count] : total.reasons) {
@@ -163,8 +167,8 @@
     if (run.endpointsWithoutCounters > 0) {
         out << "counters missing from " << run.endpointsWithoutCounters << " stand-ins: runs there are not checked\n";
     }
-    for (const BrokenPromise &promise : broken) {
-        out << "BROKEN " << promise.className << ": " << promise.requests << " " << promise.what << "\n";
+    for (const GuaranteeViolation &violation : violations) {
+        out << "BROKEN " << violation.className << ": " << violation.requests << " " << violation.what << "\n";
     }
 }
 
@@ -172,37 +176,37 @@
 {
     std::vector<ClassTally> lines = tally.classes();
     lines.push_back(tally.total());
-    for (const ClassTally &of : lines) {
+    for (const ClassTally &row : lines) {
         boost::json::object outcomes;
         for (std::size_t outcome = 0; outcome < callerOutcomes; ++outcome) {
-            outcomes[callerOutcomeName(static_cast<CallerOutcome>(outcome))] = of.outcomes[outcome];
+            outcomes[callerOutcomeName(static_cast<CallerOutcome>(outcome))] = row.outcomes[outcome];
         }
         boost::json::object reasons;
-        for (const auto &[reason, count] : of.reasons) {
+        for (const auto &[reason, count] : row.reasons) {
             reasons[reason] = count;
         }
         const boost::json::object line{{"label", label},
-                                       {"class", of.name},
-                                       {"tier", of.tier.level},
-                                       {"sent", of.sent},
-                                       {"attainment", of.attainment()},
+                                       {"class", row.name},
+                                       {"tier", row.tier.level},
+                                       {"sent", row.sent},
+                                       {"attainment", row.attainment()},
                                        {"outcomes", std::move(outcomes)},
                                        {"reasons", std::move(reasons)},
-                                       {"late_first_token", of.lateFirst},
-                                       {"slow_tokens", of.slowTokens},
-                                       {"inter_token_p95_median_ms", milliseconds(quantileOf(of.interTokens, 0.5))},
-                                       {"first_token_p50_ms", milliseconds(quantileOf(of.firstTokens, 0.5))},
-                                       {"first_token_p95_ms", milliseconds(quantileOf(of.firstTokens, 0.95))},
-                                       {"first_token_p99_ms", milliseconds(quantileOf(of.firstTokens, 0.99))},
-                                       {"first_token_max_ms", milliseconds(quantileOf(of.firstTokens, 1))},
-                                       {"asked_per_s", perSecond(of.askedTokens, run.elapsed)},
-                                       {"goodput_per_s", perSecond(of.goodTokens, run.elapsed)},
-                                       {"delivered_per_s", perSecond(of.deliveredTokens, run.elapsed)},
-                                       {"generated_tokens", of.generatedTokens},
-                                       {"wasted_tokens", of.wastedTokens()},
-                                       {"runs", of.runs},
-                                       {"duplicates", of.duplicates},
-                                       {"not_run_that_ran", of.notRunThatRan},
+                                       {"late_first_token", row.lateFirst},
+                                       {"slow_tokens", row.slowTokens},
+                                       {"inter_token_p95_median_ms", milliseconds(quantileOf(row.interTokens, 0.5))},
+                                       {"first_token_p50_ms", milliseconds(quantileOf(row.firstTokens, 0.5))},
+                                       {"first_token_p95_ms", milliseconds(quantileOf(row.firstTokens, 0.95))},
+                                       {"first_token_p99_ms", milliseconds(quantileOf(row.firstTokens, 0.99))},
+                                       {"first_token_max_ms", milliseconds(quantileOf(row.firstTokens, 1))},
+                                       {"asked_per_s", perSecond(row.requestedTokens, run.elapsed)},
+                                       {"goodput_per_s", perSecond(row.goodTokens, run.elapsed)},
+                                       {"delivered_per_s", perSecond(row.deliveredTokens, run.elapsed)},
+                                       {"generated_tokens", row.generatedTokens},
+                                       {"wasted_tokens", row.wastedTokens()},
+                                       {"runs", row.runs},
+                                       {"duplicates", row.duplicates},
+                                       {"not_run_that_ran", row.notRunThatRan},
                                        {"endpoints_without_counters", run.endpointsWithoutCounters}};
         out << boost::json::serialize(line) << "\n";
     }
--- a/src/load/tally.cpp
+++ b/src/load/tally.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/** The better of two answers to one request: a completed one, else the one that tells the caller most. */
-const CallerResult &bestOf(const std::vector<CallerResult> &tries)
+/** The best result of a request: a completed one, otherwise the one that gives the caller the most information. */
+const CallerResult &mostInformative(const std::vector<CallerResult> &tries)
 {
     static constexpr std::array<int, callerOutcomes> rank{0, 4, 2, 3, 5, 6, 1, 7, -1};
     return *std::min_element(tries.begin(), tries.end(), [](const CallerResult &left, const CallerResult &right) {
@@ -68,9 +68,9 @@
 {
     const MixClass &rule = m_mix.classes[request.classIndex];
     ClassTally &tally = m_classes[request.classIndex];
-    const CallerResult &result = bestOf(tries);
+    const CallerResult &result = mostInformative(tries);
     ++tally.sent;
-    tally.askedTokens += request.answerTokens;
+    tally.requestedTokens += request.answerTokens;
     ++tally.outcomes[static_cast<std::size_t>(result.outcome)];
     if (!result.reason.empty()) {
         ++tally.reasons[result.reason];
@@ -90,14 +90,14 @@
         tally.deliveredTokens += result.tokens;
         tally.firstTokens.push_back(result.firstToken);
     }
-    tally.leftTokens += result.outcome == CallerOutcome::Left ? result.tokens : 0;
+    tally.abandonedTokens += result.outcome == CallerOutcome::Left ? result.tokens : 0;
     tally.generatedTokens += ran.generated;
     tally.runs += ran.runs;
     if (!rule.idempotent && ran.runs > 1) {
         ++tally.duplicates;
     }
-    const bool toldNotRun = std::all_of(tries.begin(), tries.end(), [](const CallerResult &each) { return each.outcome == CallerOutcome::NotRun; });
-    if (toldNotRun && ran.runs > 0) {
+    const bool areAllNotRun = std::all_of(tries.begin(), tries.end(), [](const CallerResult &each) { return each.outcome == CallerOutcome::NotRun; });
+    if (areAllNotRun && ran.runs > 0) {
         ++tally.notRunThatRan;
     }
 }
@@ -127,10 +127,10 @@
         }
         total.interTokens.insert(total.interTokens.end(), tally.interTokens.begin(), tally.interTokens.end());
         total.firstTokens.insert(total.firstTokens.end(), tally.firstTokens.begin(), tally.firstTokens.end());
-        total.askedTokens += tally.askedTokens;
+        total.requestedTokens += tally.requestedTokens;
         total.goodTokens += tally.goodTokens;
         total.deliveredTokens += tally.deliveredTokens;
-        total.leftTokens += tally.leftTokens;
+        total.abandonedTokens += tally.abandonedTokens;
         total.generatedTokens += tally.generatedTokens;
         total.runs += tally.runs;
         total.duplicates += tally.duplicates;
@@ -141,25 +141,25 @@
     return total;
 }
 
-std::vector<BrokenPromise> brokenPromises(const Tally &tally, bool expectWhole)
+std::vector<GuaranteeViolation> findViolations(const Tally &tally, bool expectWhole)
 {
-    std::vector<BrokenPromise> broken;
-    const auto expectNone = [&broken](const ClassTally &of, std::string what, std::uint64_t requests) {
+    std::vector<GuaranteeViolation> violations;
+    const auto expectNone = [&violations](const ClassTally &row, std::string what, std::uint64_t requests) {
         if (requests > 0) {
-            broken.push_back({of.name, std::move(what), requests});
+            violations.push_back({row.name, std::move(what), requests});
         }
     };
-    for (const ClassTally &of : tally.classes()) {
-        expectNone(of, "wrong or partial answers", of.count(CallerOutcome::Wrong));
-        expectNone(of, "non-idempotent requests that ran twice", of.duplicates);
-        expectNone(of, "answers `not-run` to requests that ran", of.notRunThatRan);
-        expectNone(of, "requests rejected as bad", of.count(CallerOutcome::Rejected));
+    for (const ClassTally &row : tally.classes()) {
+        expectNone(row, "wrong or partial answers", row.count(CallerOutcome::Wrong));
+        expectNone(row, "non-idempotent requests that ran twice", row.duplicates);
+        expectNone(row, "answers `not-run` to requests that ran", row.notRunThatRan);
+        expectNone(row, "requests rejected as bad", row.count(CallerOutcome::Rejected));
         if (expectWhole) {
-            expectNone(of, "answers that broke", of.count(CallerOutcome::FailedAfterStart) + of.count(CallerOutcome::Unknown));
-            expectNone(of, "callers without an answer", of.count(CallerOutcome::NoAnswer));
+            expectNone(row, "answers that broke", row.count(CallerOutcome::FailedAfterStart) + row.count(CallerOutcome::Unknown));
+            expectNone(row, "callers without an answer", row.count(CallerOutcome::NoAnswer));
         }
     }
-    return broken;
+    return violations;
 }
 
 } // namespace Rhubarbwind
