--- a/src/ledger/ledger_test.cpp
+++ b/src/ledger/ledger_test.cpp
@@ -229,10 +229,10 @@
     std::vector<std::shared_ptr<TestHost>> hosts;
 };
 
-ClaimVerdict verdict(const std::shared_ptr<std::vector<ClaimAnswer>> &answers)
+ClaimResult result(const std::shared_ptr<std::vector<ClaimAnswer>> &answers)
 {
     REQUIRE(answers->size() == 1);
-    return answers->front().verdict;
+    return answers->front().result;
 }
 
 } // namespace
@@ -307,8 +307,8 @@
         fleet.run(10ms);
         const std::shared_ptr<std::vector<ClaimAnswer>> second = fleet.claim(1, "second");
         fleet.run(5s);
-        CHECK(verdict(first) == ClaimVerdict::Granted);
-        CHECK(verdict(second) == ClaimVerdict::Repeated);
+        CHECK(result(first) == ClaimResult::Granted);
+        CHECK(result(second) == ClaimResult::Repeated);
         CHECK(second->front().holder == RequestId("first"));
         CHECK(second->front().holderHost == HostId("host-0"));
         CHECK(second->front().state == ClaimState::InProgress);
@@ -330,13 +330,13 @@
         Fleet fleet(3);
         const std::shared_ptr<std::vector<ClaimAnswer>> first = fleet.claim(0, "first");
         fleet.run(100ms);
-        REQUIRE(verdict(first) == ClaimVerdict::Granted);
+        REQUIRE(result(first) == ClaimResult::Granted);
         fleet.hosts[0]->finish(ClaimKey("key"), RequestId("first"), row.told);
         fleet.run(1s);
         CHECK(fleet.hosts[0]->isQuiet());
         const std::shared_ptr<std::vector<ClaimAnswer>> second = fleet.claim(2, "second");
         fleet.run(1s);
-        CHECK(verdict(second) == ClaimVerdict::Repeated);
+        CHECK(result(second) == ClaimResult::Repeated);
         CHECK(second->front().state == row.expected);
     }
 }
@@ -353,14 +353,14 @@
     fleet.run(1990ms);
     CHECK(first->empty());
     fleet.run(20ms);
-    CHECK(verdict(first) == ClaimVerdict::Unavailable);
+    CHECK(result(first) == ClaimResult::Unavailable);
     fleet.run(5s);
     fleet.objects.down = false;
     fleet.run(10s);
-    CHECK(verdict(first) == ClaimVerdict::Unavailable);
+    CHECK(result(first) == ClaimResult::Unavailable);
     const std::shared_ptr<std::vector<ClaimAnswer>> second = fleet.claim(1, "second", 5s);
     fleet.run(1s);
-    CHECK(verdict(second) == ClaimVerdict::Granted);
+    CHECK(result(second) == ClaimResult::Granted);
     CHECK(fleet.hosts[0]->isQuiet());
 }
 
@@ -368,14 +368,14 @@
 {
     // The caller's host is paused past the deadline with the grant already in its socket. If the grant were taken first, the
     // request would be dispatched after the caller had been given up on.
-    LedgerDesk desk({HostId("h"), "p", 1, 300ms, 10});
+    LedgerClient desk({HostId("h"), "p", 1, 300ms, 10});
     desk.setHosts(std::array{HostId("h")});
     const TimePoint start(1h);
     const ClaimToken token = desk.claim(ClaimKey("key"), RequestId("r"), 2s, start);
     desk.receive({LedgerAnswerKind::Granted, ClaimKey("key"), token, {}, {}, {}}, start + 2s);
     const std::vector<TokenAnswer> answers = desk.takeAnswers(start + 2s);
     REQUIRE(answers.size() == 1);
-    CHECK(answers.front().answer.verdict == ClaimVerdict::Unavailable);
+    CHECK(answers.front().answer.result == ClaimResult::Unavailable);
     CHECK(desk.takeMessages(start + 2s).at(0).requests.ends.at(0).kind == RecordKind::Withdraw);
 }
 
@@ -399,10 +399,10 @@
     }
     const std::shared_ptr<std::vector<ClaimAnswer>> second = fleet.claim(other, "second");
     fleet.run(1s);
-    CHECK(verdict(second) == ClaimVerdict::Granted);
+    CHECK(result(second) == ClaimResult::Granted);
     fleet.objects.thaw();
     fleet.run(1s);
-    CHECK(verdict(first) == ClaimVerdict::Repeated);
+    CHECK(result(first) == ClaimResult::Repeated);
     CHECK(first->front().holder == RequestId("second"));
 }
 
@@ -413,7 +413,7 @@
     Fleet fleet(3);
     const std::shared_ptr<std::vector<ClaimAnswer>> first = fleet.claim(0, "first");
     fleet.run(100ms);
-    REQUIRE(verdict(first) == ClaimVerdict::Granted);
+    REQUIRE(result(first) == ClaimResult::Granted);
     fleet.network.cut.insert(fleet.names[0]);
     SECTION("gone")
     {
@@ -434,7 +434,7 @@
     }
     const std::shared_ptr<std::vector<ClaimAnswer>> second = fleet.claim(1, "second");
     fleet.run(2s);
-    CHECK(verdict(second) == ClaimVerdict::Repeated);
+    CHECK(result(second) == ClaimResult::Repeated);
     CHECK(second->front().state == ClaimState::Unknown);
 }
 
--- a/src/ledger/ledgerdesk.cpp
+++ b/src/ledger/ledgerdesk.cpp
@@ -24,13 +24,13 @@
     return "ledger/" + std::to_string(shard);
 }
 
-LedgerDesk::LedgerDesk(const LedgerDeskOptions &options)
+LedgerClient::LedgerClient(const LedgerClientOptions &options)
     : m_options(options)
     , m_owners(options.shards)
 {
 }
 
-void LedgerDesk::setHosts(std::span<const HostId> live)
+void LedgerClient::setHosts(std::span<const HostId> live)
 {
     std::set<std::uint32_t> moved;
     for (std::uint32_t shard = 0; shard < m_options.shards; ++shard) {
@@ -47,15 +47,15 @@
     }
 }
 
-ClaimToken LedgerDesk::claim(const ClaimKey &key, const RequestId &request, Duration deadlineIn, TimePoint now)
+ClaimToken LedgerClient::claim(const ClaimKey &key, const RequestId &request, Duration deadlineIn, TimePoint now)
 {
     ClaimToken token = nextToken();
     if (m_byRequest.contains({key, request})) {
-        answer(token, {ClaimVerdict::Repeated, request, m_options.self, ClaimState::InProgress});
+        answer(token, {ClaimResult::Repeated, request, m_options.self, ClaimState::InProgress});
         return token;
     }
     if (m_entries.size() >= m_options.maximumClaims || deadlineIn <= Duration::zero()) {
-        answer(token, {ClaimVerdict::Unavailable, {}, {}, {}});
+        answer(token, {ClaimResult::Unavailable, {}, {}, {}});
         return token;
     }
     Entry entry{key, request, ledgerShard(key, m_options.shards), Phase::Open, now + deadlineIn, {}, {}, {}};
@@ -66,7 +66,7 @@
     return token;
 }
 
-void LedgerDesk::finish(const ClaimKey &key, const RequestId &request, ClaimState state)
+void LedgerClient::finish(const ClaimKey &key, const RequestId &request, ClaimState state)
 {
     const RequestIndex::iterator found = m_byRequest.find({key, request});
     if (found == m_byRequest.end()) {
@@ -80,7 +80,7 @@
     }
 }
 
-void LedgerDesk::receive(const LedgerAnswer &answer, TimePoint now)
+void LedgerClient::receive(const LedgerAnswer &answer, TimePoint now)
 {
     expire(now);
     const Entries::iterator found = m_entries.find(answer.token);
@@ -102,13 +102,13 @@
     }
 }
 
-std::vector<TokenAnswer> LedgerDesk::takeAnswers(TimePoint now)
+std::vector<TokenAnswer> LedgerClient::takeAnswers(TimePoint now)
 {
     expire(now);
     return std::exchange(m_answers, {});
 }
 
-std::vector<OutgoingRequests> LedgerDesk::takeMessages(TimePoint now)
+std::vector<OutgoingRequests> LedgerClient::takeMessages(TimePoint now)
 {
     std::map<std::uint32_t, LedgerRequests> byShard;
     std::vector<ClaimToken> later;
@@ -137,61 +137,61 @@
     return messages;
 }
 
-TimePoint LedgerDesk::wakeAt() const
+TimePoint LedgerClient::wakeAt() const
 {
     const TimePoint deadline = m_deadlines.empty() ? TimePoint::max() : m_deadlines.begin()->first;
     const TimePoint send = m_sends.empty() ? TimePoint::max() : m_sends.begin()->first;
     return m_answers.empty() ? std::min(deadline, send) : TimePoint::min();
 }
 
-LedgerDeskStatus LedgerDesk::status() const
+LedgerClientStatus LedgerClient::status() const
 {
-    LedgerDeskStatus status = m_counts;
+    LedgerClientStatus status = m_counts;
     status.open = m_deadlines.size();
     status.running = m_byRequest.size() - m_deadlines.size();
     status.ending = m_entries.size() - m_byRequest.size();
     return status;
 }
 
-ClaimToken LedgerDesk::nextToken()
+ClaimToken LedgerClient::nextToken()
 {
     return ClaimToken(m_options.process + "-" + std::to_string(++m_sequence));
 }
 
-bool LedgerDesk::isOwnToken(const ClaimToken &token) const
+bool LedgerClient::isOwnToken(const ClaimToken &token) const
 {
     return token.text().starts_with(m_options.process + "-");
 }
 
-void LedgerDesk::schedule(const ClaimToken &token, Entry &entry, TimePoint at)
+void LedgerClient::schedule(const ClaimToken &token, Entry &entry, TimePoint at)
 {
     unschedule(token, entry);
     entry.sendAt = at;
     m_sends.insert({at, token});
 }
 
-void LedgerDesk::unschedule(const ClaimToken &token, const Entry &entry)
+void LedgerClient::unschedule(const ClaimToken &token, const Entry &entry)
 {
     m_sends.erase({entry.sendAt, token});
 }
 
-void LedgerDesk::answer(const ClaimToken &token, const ClaimAnswer &answer)
+void LedgerClient::answer(const ClaimToken &token, const ClaimAnswer &answer)
 {
-    switch (answer.verdict) {
-    case ClaimVerdict::Granted:
+    switch (answer.result) {
+    case ClaimResult::Granted:
         ++m_counts.granted;
         break;
-    case ClaimVerdict::Repeated:
+    case ClaimResult::Repeated:
         ++m_counts.repeated;
         break;
-    case ClaimVerdict::Unavailable:
+    case ClaimResult::Unavailable:
         ++m_counts.unavailable;
         break;
     }
     m_answers.push_back({token, answer});
 }
 
-void LedgerDesk::startEnding(const ClaimToken &token, Entry &entry, RecordKind kind, ClaimState state)
+void LedgerClient::startEnding(const ClaimToken &token, Entry &entry, RecordKind kind, ClaimState state)
 {
     m_deadlines.erase({entry.deadline, token});
     m_byRequest.erase({entry.key, entry.request});
@@ -201,7 +201,7 @@
     schedule(token, entry, TimePoint::min());
 }
 
-void LedgerDesk::forget(Entries::iterator found)
+void LedgerClient::forget(Entries::iterator found)
 {
     unschedule(found->first, found->second);
     if (found->second.phase != Phase::Ending) {
@@ -211,7 +211,7 @@
     m_entries.erase(found);
 }
 
-void LedgerDesk::receiveGrant(const LedgerAnswer &grant)
+void LedgerClient::receiveGrant(const LedgerAnswer &grant)
 {
     const Entries::iterator found = m_entries.find(grant.token);
     if (found == m_entries.end()) {
@@ -223,11 +223,11 @@
         unschedule(found->first, entry);
         m_deadlines.erase({entry.deadline, found->first});
         entry.phase = Phase::Running;
-        answer(found->first, {ClaimVerdict::Granted, entry.request, m_options.self, ClaimState::InProgress});
+        answer(found->first, {ClaimResult::Granted, entry.request, m_options.self, ClaimState::InProgress});
     }
 }
 
-void LedgerDesk::endStrangeGrant(const LedgerAnswer &grant)
+void LedgerClient::endStrangeGrant(const LedgerAnswer &grant)
 {
     // At the limit the grant is dropped: the writer tells of it again when somebody asks for the key.
     if (m_entries.size() >= m_options.maximumClaims) {
@@ -241,22 +241,22 @@
     schedule(grant.token, stored, TimePoint::min());
 }
 
-void LedgerDesk::receiveRefusal(Entries::iterator found, const LedgerAnswer &refusal)
+void LedgerClient::receiveRefusal(Entries::iterator found, const LedgerAnswer &refusal)
 {
     if (refusal.kind == LedgerAnswerKind::Repeated) {
-        answer(found->first, {ClaimVerdict::Repeated, refusal.holder, refusal.holderHost, refusal.state});
+        answer(found->first, {ClaimResult::Repeated, refusal.holder, refusal.holderHost, refusal.state});
     } else {
-        answer(found->first, {ClaimVerdict::Unavailable, {}, {}, {}});
+        answer(found->first, {ClaimResult::Unavailable, {}, {}, {}});
     }
     // Another writer may have the token in an append under way.
     startEnding(found->first, found->second, RecordKind::Withdraw, ClaimState::Unknown);
 }
 
-void LedgerDesk::expire(TimePoint now)
+void LedgerClient::expire(TimePoint now)
 {
     while (!m_deadlines.empty() && m_deadlines.begin()->first <= now) {
         const ClaimToken token = m_deadlines.begin()->second;
-        answer(token, {ClaimVerdict::Unavailable, {}, {}, {}});
+        answer(token, {ClaimResult::Unavailable, {}, {}, {}});
         startEnding(token, m_entries.at(token), RecordKind::Withdraw, ClaimState::Unknown);
     }
 }
--- a/src/ledger/ledgerdesk.h
+++ b/src/ledger/ledgerdesk.h
@@ -30,7 +30,7 @@
 namespace Rhubarbwind
 {
 
-struct LedgerDeskOptions
+struct LedgerClientOptions
 {
     HostId self;
     std::string process; ///< unique id of this process
@@ -56,7 +56,7 @@
     LedgerRequests requests;
 };
 
-struct LedgerDeskStatus
+struct LedgerClientStatus
 {
     std::size_t open = 0;
     std::size_t running = 0; ///< granted and not finished
@@ -67,10 +67,10 @@
     std::uint64_t withdrawnLate = 0; ///< grants that came after their deadline
 };
 
-class LedgerDesk
+class LedgerClient
 {
 public:
-    explicit LedgerDesk(const LedgerDeskOptions &options);
+    explicit LedgerClient(const LedgerClientOptions &options);
 
     /** The live hosts; claims of shards whose owner changed are sent to the new one. */
     void setHosts(std::span<const HostId> live);
@@ -91,7 +91,7 @@
     {
         return m_owners[shard];
     }
-    LedgerDeskStatus status() const;
+    LedgerClientStatus status() const;
 
 private:
     enum class Phase : std::uint8_t {
@@ -125,7 +125,7 @@
     void receiveRefusal(Entries::iterator found, const LedgerAnswer &answer);
     void expire(TimePoint now);
 
-    LedgerDeskOptions m_options;
+    LedgerClientOptions m_options;
     std::vector<HostId> m_owners;
     std::uint64_t m_sequence = 0;
     Entries m_entries;
@@ -133,7 +133,7 @@
     std::set<std::pair<TimePoint, ClaimToken>> m_deadlines; ///< open claims
     std::set<std::pair<TimePoint, ClaimToken>> m_sends; ///< open and ending claims
     std::vector<TokenAnswer> m_answers;
-    LedgerDeskStatus m_counts;
+    LedgerClientStatus m_counts;
 };
 
 } // namespace Rhubarbwind
--- a/src/ledger/ledgerhost.h
+++ b/src/ledger/ledgerhost.h
@@ -3,7 +3,7 @@
 // One host's part in the ledger: the desk for the requests that entered here, and a writer for every shard
 // that rendezvous hashing gives to this host. Meets ClaimPort.
 //
-// What it promises: see LedgerDesk for what a caller may be told and LedgerWriter for at most once. Claims that
+// What it promises: see LedgerClient for what a caller may be told and LedgerWriter for at most once. Claims that
 // arrive while the event loop is busy are sent together. A host that loses a shard stops writing for it; it need
 // not know when the next one starts, since the segment numbers fence it off.
 //
@@ -42,7 +42,7 @@
 
 struct LedgerHostStatus
 {
-    LedgerDeskStatus desk;
+    LedgerClientStatus desk;
     std::map<std::uint32_t, LedgerWriterStatus> writers; ///< by shard, for the shards served here
 };
 
@@ -103,7 +103,7 @@
     /** True when no claim is open, running or waiting for its end to become durable: a planned stop may go on. */
     bool isQuiet() const
     {
-        const LedgerDeskStatus status = m_desk.status();
+        const LedgerClientStatus status = m_desk.status();
         return status.open + status.running + status.ending == 0;
     }
 
@@ -112,7 +112,7 @@
         m_stopped = true;
         m_timer.cancel();
         for (const auto &[token, handler] : std::exchange(m_handlers, {})) {
-            handler({ClaimVerdict::Unavailable, {}, {}, {}});
+            handler({ClaimResult::Unavailable, {}, {}, {}});
         }
     }
 
@@ -391,7 +391,7 @@
     Random m_random;
     Log m_log{LogPart::Ledger};
     std::vector<HostId> m_live;
-    LedgerDesk m_desk;
+    LedgerClient m_desk;
     std::map<std::uint32_t, LedgerWriter> m_writers;
     std::unordered_map<ClaimToken, ClaimHandler> m_handlers;
     SessionTimer<ClockType> m_timer;
--- a/src/relay/relaybench_test.h
+++ b/src/relay/relaybench_test.h
@@ -237,11 +237,11 @@
     {
         asked.push_back(key);
         if (!available) {
-            onAnswer({ClaimVerdict::Unavailable, {}, {}, {}});
+            onAnswer({ClaimResult::Unavailable, {}, {}, {}});
             return;
         }
         const auto [held, fresh] = holders.emplace(key, request);
-        onAnswer(fresh ? ClaimAnswer{ClaimVerdict::Granted, {}, {}, {}} : ClaimAnswer{ClaimVerdict::Repeated, held->second, HostId("other"), states[key]});
+        onAnswer(fresh ? ClaimAnswer{ClaimResult::Granted, {}, {}, {}} : ClaimAnswer{ClaimResult::Repeated, held->second, HostId("other"), states[key]});
     }
     void finish(const ClaimKey &key, const RequestId &, ClaimState state)
     {
--- a/src/relay/relaycall.cpp
+++ b/src/relay/relaycall.cpp
@@ -236,11 +236,11 @@
 {
     m_stepStarted = ClockType::now();
     m_context->ports.claim(m_request.claimKey, m_request.id, action.deadlineIn, [self = this->shared_from_this()](ClaimAnswer answer) {
-        self->m_telemetry.hop(Hop::Claim, self->m_stepStarted, ClockType::now(), {{"verdict", std::to_string(static_cast<int>(answer.verdict))}});
+        self->m_telemetry.hop(Hop::Claim, self->m_stepStarted, ClockType::now(), {{"verdict", std::to_string(static_cast<int>(answer.result))}});
         self->m_stepStarted = ClockType::now();
-        self->m_context->claimsFailing = answer.verdict == ClaimVerdict::Unavailable;
-        if (answer.verdict == ClaimVerdict::Repeated && self->takeUnusedClaim(answer.holder)) {
-            answer.verdict = ClaimVerdict::Granted;
+        self->m_context->claimsFailing = answer.result == ClaimResult::Unavailable;
+        if (answer.result == ClaimResult::Repeated && self->takeUnusedClaim(answer.holder)) {
+            answer.result = ClaimResult::Granted;
         }
         self->perform(self->m_life.claimAnswered(answer, ClockType::now()));
     });
--- a/src/relay/requestlife.cpp
+++ b/src/relay/requestlife.cpp
@@ -142,13 +142,13 @@
 {
     LifeActions actions;
     if (m_state != LifeState::AwaitClaim) {
-        if (ended() && m_rules.claimed && !m_claimGranted && answer.verdict == ClaimVerdict::Granted) {
+        if (ended() && m_rules.claimed && !m_claimGranted && answer.result == ClaimResult::Granted) {
             m_claimGranted = true;
             actions.push_back(FinishClaim{ClaimState::Unknown, true});
         }
         return actions;
     }
-    if (answer.verdict == ClaimVerdict::Granted) {
+    if (answer.result == ClaimResult::Granted) {
         m_claimGranted = true;
         if (m_permitHeld) {
             dispatch(actions);
@@ -157,7 +157,7 @@
         }
         return actions;
     }
-    if (answer.verdict == ClaimVerdict::Repeated) {
+    if (answer.result == ClaimResult::Repeated) {
         release(ReleaseKind::Unused, actions);
         m_state = LifeState::Ended;
         actions.push_back(Answer{outcomeOf(answer.state), RelayError::ClaimRepeated, {}, answer});
--- a/src/relay/requestlife_test.cpp
+++ b/src/relay/requestlife_test.cpp
@@ -99,13 +99,13 @@
             break;
         case 2:
             m_world.claimGranted = m_world.claimGranted || m_world.claims > 0;
-            take(m_life.claimAnswered({ClaimVerdict::Granted, {}, {}, {}}, m_now));
+            take(m_life.claimAnswered({ClaimResult::Granted, {}, {}, {}}, m_now));
             break;
         case 3:
-            take(m_life.claimAnswered({ClaimVerdict::Repeated, RequestId("q"), HostId("h"), ClaimState::InProgress}, m_now));
+            take(m_life.claimAnswered({ClaimResult::Repeated, RequestId("q"), HostId("h"), ClaimState::InProgress}, m_now));
             break;
         case 4:
-            take(m_life.claimAnswered({ClaimVerdict::Unavailable, {}, {}, {}}, m_now));
+            take(m_life.claimAnswered({ClaimResult::Unavailable, {}, {}, {}}, m_now));
             break;
         case 5:
             take(m_life.connectFailed(connection));
