--- a/src/ledger/ledgerdesk.cpp
+++ b/src/ledger/ledgerclient.cpp
@@ -2,7 +2,7 @@
 // the caller is told Granted only on the way from Open to Running, and a withdrawal is sent only for a token
 // that is not Open or Running, which it never becomes again.
 
-#include "ledger/ledgerdesk.h"
+#include "ledger/ledgerclient.h"
 
 #include "base/rendezvous.h"
 
--- a/src/ledger/ledgerhost.h
+++ b/src/ledger/ledgerhost.h
@@ -17,7 +17,7 @@
 #include "base/requestid.h"
 #include "base/sessiontimer.h"
 #include "ledger/claimport.h"
-#include "ledger/ledgerdesk.h"
+#include "ledger/ledgerclient.h"
 #include "ledger/ledgerwriter.h"
 #include "telemetry/log.h"
 #include "wire/peernetwork.h"
