--- a/src/ledger/ledger_test.cpp
+++ b/src/ledger/ledger_test.cpp
@@ -7,26 +7,26 @@
 
 using namespace Rhubarbwind;
 
-// As the daemon uses it.
+// The instantiation that the daemon uses.
 template class Rhubarbwind::LedgerHost<SteadyClock, ObjectClient<SteadyClock>, PeerNetwork<SteadyClock>>;
 
 namespace
 {
 
-/** What befalls one write to the platform. */
+/** The fault injected into one write to the platform. */
 enum class Fault : std::uint8_t {
     None,
     LostAfterEffect,
-    LostThenDown, ///< as LostAfterEffect, and the platform is down from then on
+    LostThenDown, ///< as LostAfterEffect; the platform is down from then on
     LostBeforeEffect,
     Unreachable,
     Refused,
     OverBudget,
-    SomebodyElse, ///< another writer takes the number just before
-    Frozen, ///< the answer is held until thaw()
+    SomebodyElse, ///< another writer takes the number just before this write
+    Frozen, ///< the write is held until deliverFrozen()
 };
 
-/** The object API in memory, with a fault for each of the next writes. */
+/** An in-memory object API that injects a fault into each of the next writes. */
 class FakeObjects
 {
 public:
@@ -59,7 +59,7 @@
         } else if (fault == Fault::LostBeforeEffect) {
             answer<ObjectVersion>(handler, PlatformError{PlatformErrorKind::Unknown, 0});
         } else if (fault == Fault::Frozen) {
-            m_frozen = [this, key, value, condition, handler] { write(key, value, condition, handler); };
+            m_frozenWrite = [this, key, value, condition, handler] { write(key, value, condition, handler); };
         } else {
             if (fault == Fault::SomebodyElse) {
                 write(key, R"({"writer":"other","base":1,"clock_ms":0,"records":[]})", condition, [](const PlatformResult<ObjectVersion> &) {});
@@ -103,9 +103,9 @@
     {
     }
 
-    void thaw()
+    void deliverFrozen()
     {
-        std::exchange(m_frozen, nullptr)();
+        std::exchange(m_frozenWrite, nullptr)();
     }
 
     std::map<std::string, StoredObject> objects;
@@ -132,10 +132,10 @@
 
     boost::asio::io_context &m_context;
     ObjectVersion m_revision = 0;
-    std::function<void()> m_frozen;
+    std::function<void()> m_frozenWrite;
 };
 
-/** Frames between hosts in one process. */
+/** Delivers frames between hosts in one process. */
 struct Network
 {
     boost::asio::io_context &context;
@@ -166,7 +166,7 @@
 using TestHost = LedgerHost<ManualClock, FakeObjects, FakeTransport>;
 static_assert(ClaimPort<TestHost>);
 
-/** Hosts that share a platform; the first alone writes until owners() says otherwise. */
+/** Hosts that share a platform and one shard, which rendezvous hashing assigns to one of them. */
 struct Fleet
 {
     explicit Fleet(std::size_t count)
@@ -175,7 +175,7 @@
         for (std::size_t i = 0; i < count; ++i) {
             addHost(HostId("host-" + std::to_string(i)));
         }
-        everybody();
+        setAllHosts();
     }
 
     void addHost(const HostId &name)
@@ -190,7 +190,7 @@
         hosts.back()->start();
     }
 
-    void everybody()
+    void setAllHosts()
     {
         for (const std::shared_ptr<TestHost> &host : hosts) {
             host->setHosts(names);
@@ -202,7 +202,7 @@
         return static_cast<std::size_t>(std::find(names.begin(), names.end(), rendezvousOwner(names, ledgerDuty(0))) - names.begin());
     }
 
-    /** Lets virtual time pass in steps small against every interval of the ledger. */
+    /** Advances virtual time in steps that are small compared to every interval of the ledger. */
     void run(Duration span)
     {
         for (Duration passed{}; passed < span; passed += 10ms) {
@@ -229,7 +229,7 @@
     std::vector<std::shared_ptr<TestHost>> hosts;
 };
 
-ClaimResult result(const std::shared_ptr<std::vector<ClaimAnswer>> &answers)
+ClaimResult resultOf(const std::shared_ptr<std::vector<ClaimAnswer>> &answers)
 {
     REQUIRE(answers->size() == 1);
     return answers->front().result;
@@ -281,10 +281,10 @@
     });
 }
 
-TEST_CASE("a key is granted once whatever befalls the write", "[at-most-once]")
+TEST_CASE("a key is granted once whichever fault occurs during the write", "[at-most-once]")
 {
-    // The caller repeats a request through another host after the first answer was slow. The segment's write is lost, refused or
-    // overtaken; a writer that took a lost answer for a failure would claim again under another number, or refuse its own claim.
+    // The caller repeats a request through another host after a slow answer, while the segment's write is lost, refused or overtaken. A
+    // writer that took a lost answer for a failure would claim again under another number, or refuse its own claim.
     struct Row
     {
         const char *name;
@@ -294,9 +294,9 @@
                                 {"answer lost after the effect", {Fault::LostAfterEffect}},
                                 {"answer lost before the effect", {Fault::LostBeforeEffect}},
                                 {"answers lost twice", {Fault::LostBeforeEffect, Fault::LostAfterEffect}},
-                                {"out of reach three times", {Fault::Unreachable, Fault::Unreachable, Fault::Unreachable}},
-                                {"over the platform's rate", {Fault::Refused}},
-                                {"over this host's part", {Fault::OverBudget}},
+                                {"unreachable three times", {Fault::Unreachable, Fault::Unreachable, Fault::Unreachable}},
+                                {"above the platform's rate limit", {Fault::Refused}},
+                                {"above this host's share of the rate", {Fault::OverBudget}},
                                 {"another writer took the number", {Fault::SomebodyElse}},
                                 {"two other segments, then a lost answer", {Fault::SomebodyElse, Fault::SomebodyElse, Fault::LostAfterEffect}}};
     for (const Row &row : rows) {
@@ -307,19 +307,19 @@
         fleet.run(10ms);
         const std::shared_ptr<std::vector<ClaimAnswer>> second = fleet.claim(1, "second");
         fleet.run(5s);
-        CHECK(result(first) == ClaimResult::Granted);
-        CHECK(result(second) == ClaimResult::Repeated);
+        CHECK(resultOf(first) == ClaimResult::Granted);
+        CHECK(resultOf(second) == ClaimResult::Repeated);
         CHECK(second->front().holder == RequestId("first"));
         CHECK(second->front().holderHost == HostId("host-0"));
         CHECK(second->front().state == ClaimState::InProgress);
     }
 }
 
-TEST_CASE("a repeat is told how the first request ended")
+TEST_CASE("a repeat receives the final state of the first request")
 {
     struct Row
     {
-        ClaimState told;
+        ClaimState reported;
         ClaimState expected;
     };
     const std::vector<Row> rows{{ClaimState::Completed, ClaimState::Completed},
@@ -330,22 +330,22 @@
         Fleet fleet(3);
         const std::shared_ptr<std::vector<ClaimAnswer>> first = fleet.claim(0, "first");
         fleet.run(100ms);
-        REQUIRE(result(first) == ClaimResult::Granted);
-        fleet.hosts[0]->finish(ClaimKey("key"), RequestId("first"), row.told);
+        REQUIRE(resultOf(first) == ClaimResult::Granted);
+        fleet.hosts[0]->finish(ClaimKey("key"), RequestId("first"), row.reported);
         fleet.run(1s);
         CHECK(fleet.hosts[0]->isQuiet());
         const std::shared_ptr<std::vector<ClaimAnswer>> second = fleet.claim(2, "second");
         fleet.run(1s);
-        CHECK(result(second) == ClaimResult::Repeated);
+        CHECK(resultOf(second) == ClaimResult::Repeated);
         CHECK(second->front().state == row.expected);
     }
 }
 
 TEST_CASE("an outage ends claims at their deadline and a late grant runs nothing", "[truthful-not-run]")
 {
-    // The caller is told "not run" at its deadline. The write had taken effect, its answer was lost and the platform then went
-    // down, so the claim is found durable after the outage. The late grant must run nothing, and its withdrawal must free the
-    // key: without it every repeat would be told "in progress" of a request that never ran.
+    // The caller receives "not run" at its deadline. The write took effect, its answer was lost and the platform then went down, so the claim is
+    // found durable after the outage. The late grant must run nothing, and its withdrawal must free the key: otherwise every repeat
+    // would receive "in progress" for a request that never ran.
     Fleet fleet(3);
     fleet.run(100ms);
     fleet.objects.faults = {Fault::LostThenDown};
@@ -353,36 +353,36 @@
     fleet.run(1990ms);
     CHECK(first->empty());
     fleet.run(20ms);
-    CHECK(result(first) == ClaimResult::Unavailable);
+    CHECK(resultOf(first) == ClaimResult::Unavailable);
     fleet.run(5s);
     fleet.objects.down = false;
     fleet.run(10s);
-    CHECK(result(first) == ClaimResult::Unavailable);
+    CHECK(resultOf(first) == ClaimResult::Unavailable);
     const std::shared_ptr<std::vector<ClaimAnswer>> second = fleet.claim(1, "second", 5s);
     fleet.run(1s);
-    CHECK(result(second) == ClaimResult::Granted);
+    CHECK(resultOf(second) == ClaimResult::Granted);
     CHECK(fleet.hosts[0]->isQuiet());
 }
 
 TEST_CASE("a grant that is processed after its deadline is late", "[truthful-not-run]")
 {
-    // The caller's host is paused past the deadline with the grant already in its socket. If the grant were taken first, the
-    // request would be dispatched after the caller had been given up on.
-    LedgerClient desk({HostId("h"), "p", 1, 300ms, 10});
-    desk.setHosts(std::array{HostId("h")});
+    // The caller's host is paused past the deadline with the grant already in its socket. If the grant were processed before the deadline, the
+    // request would be dispatched after its deadline.
+    LedgerClient client({HostId("h"), "p", 1, 300ms, 10});
+    client.setHosts(std::array{HostId("h")});
     const TimePoint start(1h);
-    const ClaimToken token = desk.claim(ClaimKey("key"), RequestId("r"), 2s, start);
-    desk.receive({LedgerAnswerKind::Granted, ClaimKey("key"), token, {}, {}, {}}, start + 2s);
-    const std::vector<TokenAnswer> answers = desk.takeAnswers(start + 2s);
+    const ClaimToken token = client.claim(ClaimKey("key"), RequestId("r"), 2s, start);
+    client.receive({LedgerAnswerKind::Granted, ClaimKey("key"), token, {}, {}, {}}, start + 2s);
+    const std::vector<TokenAnswer> answers = client.takeAnswers(start + 2s);
     REQUIRE(answers.size() == 1);
     CHECK(answers.front().answer.result == ClaimResult::Unavailable);
-    CHECK(desk.takeMessages(start + 2s).at(0).requests.ends.at(0).kind == RecordKind::Withdraw);
+    CHECK(client.takeMessages(start + 2s).at(0).requests.ends.at(0).kind == RecordKind::Withdraw);
 }
 
-TEST_CASE("a frozen writer that wakes grants nothing that its successor granted", "[at-most-once]")
+TEST_CASE("a paused writer that resumes grants nothing that its successor granted", "[at-most-once]")
 {
-    // The caller's repeat runs though the first one ran. The shard's writer is frozen with an append on its way; the others give it
-    // up and its successor grants the key. The former writer's append then arrives: its number is taken, so it is refused.
+    // Guards against a repeat that runs although the first request ran. The shard's writer is paused with an append in flight, the other hosts
+    // consider it failed and its successor grants the key. The former writer's append then arrives: its number is taken, so it is refused.
     Fleet fleet(3);
     fleet.run(100ms);
     const std::size_t former = fleet.owner();
@@ -399,23 +399,23 @@
     }
     const std::shared_ptr<std::vector<ClaimAnswer>> second = fleet.claim(other, "second");
     fleet.run(1s);
-    CHECK(result(second) == ClaimResult::Granted);
-    fleet.objects.thaw();
+    CHECK(resultOf(second) == ClaimResult::Granted);
+    fleet.objects.deliverFrozen();
     fleet.run(1s);
-    CHECK(result(first) == ClaimResult::Repeated);
+    CHECK(resultOf(first) == ClaimResult::Repeated);
     CHECK(first->front().holder == RequestId("second"));
 }
 
-TEST_CASE("claims of a host that is gone or was replaced are unknown", "[at-most-once]")
+TEST_CASE("claims of a host that was removed or replaced are unknown", "[at-most-once]")
 {
-    // The caller's host dies after dispatch and the caller repeats elsewhere. Nobody knows whether the first one ran, so the repeat
-    // must not run; a new process under the same name must not withdraw what it never held.
+    // The caller's host fails after dispatch and the caller repeats through another host. Whether the first request ran is unknown, so the repeat
+    // must not run. A new process under the same name must not withdraw a claim that it never held.
     Fleet fleet(3);
     const std::shared_ptr<std::vector<ClaimAnswer>> first = fleet.claim(0, "first");
     fleet.run(100ms);
-    REQUIRE(result(first) == ClaimResult::Granted);
+    REQUIRE(resultOf(first) == ClaimResult::Granted);
     fleet.network.cut.insert(fleet.names[0]);
-    SECTION("gone")
+    SECTION("removed")
     {
         const std::vector<HostId> rest(fleet.names.begin() + 1, fleet.names.end());
         fleet.hosts[1]->setHosts(rest);
@@ -428,29 +428,29 @@
         fleet.names.pop_back();
         fleet.addHost(HostId("host-0"));
         fleet.names = {HostId("host-0"), HostId("host-1"), HostId("host-2")};
-        fleet.everybody();
-        (void)fleet.claim(1, "prompts the writer to ask the holder's host");
+        fleet.setAllHosts();
+        (void)fleet.claim(1, "makes the writer send the grant to the holder's host again");
         fleet.run(2s);
     }
     const std::shared_ptr<std::vector<ClaimAnswer>> second = fleet.claim(1, "second");
     fleet.run(2s);
-    CHECK(result(second) == ClaimResult::Repeated);
+    CHECK(resultOf(second) == ClaimResult::Repeated);
     CHECK(second->front().state == ClaimState::Unknown);
 }
 
-TEST_CASE("clean-up removes old segments and leaves no hole in the fence", "[at-most-once]")
+TEST_CASE("cleanup removes old segments without letting a paused writer grant a key again", "[at-most-once]")
 {
-    // The caller's key is granted to a second request though the first still holds it. A writer frozen for longer than the
-    // retention finds its next number absent, since the segment was removed, and its append succeeds. It must not believe it.
+    // Guards against granting a key to a second request while another holds it. A writer paused for longer than the retention finds its next
+    // number absent, since the segment was removed, and its append succeeds. It must not rely on that success.
     LedgerWriterOptions options;
     options.retention = 1h;
     Random random(1);
     TimePoint now(10h);
-    LedgerWriter frozen("frozen", options);
-    (void)frozen.nextCall(now);
-    frozen.listDone({}, now, random);
-    frozen.claim({ClaimKey("key"), ClaimToken("old"), RequestId("old"), HostId("a"), 100h}, now);
-    REQUIRE(frozen.nextCall(now)->number == 1);
+    LedgerWriter pausedWriter("frozen", options);
+    (void)pausedWriter.nextCall(now);
+    pausedWriter.listDone({}, now, random);
+    pausedWriter.claim({ClaimKey("key"), ClaimToken("old"), RequestId("old"), HostId("a"), 100h}, now);
+    REQUIRE(pausedWriter.nextCall(now)->number == 1);
 
     LedgerWriter current("current", options);
     (void)current.nextCall(now);
@@ -473,18 +473,18 @@
     CHECK(stored.front().number == 9);
     CHECK(current.status().keys == 7);
 
-    frozen.appendDone(99, now);
-    CHECK(frozen.takeAnswers().empty());
-    REQUIRE(frozen.nextCall(now)->kind == LedgerCallKind::List);
+    pausedWriter.appendDone(99, now);
+    CHECK(pausedWriter.takeAnswers().empty());
+    REQUIRE(pausedWriter.nextCall(now)->kind == LedgerCallKind::List);
     stored.insert(stored.begin(), {1, 99, {"frozen", 1, {}, {}}});
-    frozen.listDone(stored, now, random);
-    const std::vector<AddressedAnswer> answers = frozen.takeAnswers();
+    pausedWriter.listDone(stored, now, random);
+    const std::vector<AddressedAnswer> answers = pausedWriter.takeAnswers();
     REQUIRE(!answers.empty());
     CHECK(answers.back().answer.kind == LedgerAnswerKind::Repeated);
-    CHECK(frozen.nextRemoval(now)->number == 1);
+    CHECK(pausedWriter.nextRemoval(now)->number == 1);
 }
 
-TEST_CASE("a writer refuses what it cannot hold and a broken log")
+TEST_CASE("a writer rejects claims above its limits and a log with a gap")
 {
     LedgerWriterOptions options;
     options.queueLimit = 2;
--- a/src/ledger/ledgerclient.cpp
+++ b/src/ledger/ledgerclient.cpp
@@ -1,6 +1,5 @@
-// A claim's life here: Open, then Running or Ending, then forgotten. The safety argument rests on two facts:
-// the caller is told Granted only on the way from Open to Running, and a withdrawal is sent only for a token
-// that is not Open or Running, which it never becomes again.
+// A claim goes from Open to Running or Ending, and is removed when its end is durable. Safety rests on two facts: the caller receives Granted only on
+// the transition from Open to Running, and a withdrawal is sent only for a token that is neither Open nor Running and never becomes so again.
 
 #include "ledger/ledgerclient.h"
 
@@ -215,7 +214,7 @@
 {
     const Entries::iterator found = m_entries.find(grant.token);
     if (found == m_entries.end()) {
-        endStrangeGrant(grant);
+        endUnknownGrant(grant);
         return;
     }
     Entry &entry = found->second;
@@ -227,9 +226,9 @@
     }
 }
 
-void LedgerClient::endStrangeGrant(const LedgerAnswer &grant)
+void LedgerClient::endUnknownGrant(const LedgerAnswer &grant)
 {
-    // At the limit the grant is dropped: the writer tells of it again when somebody asks for the key.
+    // At the limit the grant is dropped: the writer sends it again when another request claims the key.
     if (m_entries.size() >= m_options.maximumClaims) {
         return;
     }
@@ -248,7 +247,7 @@
     } else {
         answer(found->first, {ClaimResult::Unavailable, {}, {}, {}});
     }
-    // Another writer may have the token in an append under way.
+    // Another writer may have an append with this token in flight.
     startEnding(found->first, found->second, RecordKind::Withdraw, ClaimState::Unknown);
 }
 
--- a/src/ledger/ledgerhost.h
+++ b/src/ledger/ledgerhost.h
@@ -1,18 +1,17 @@
 #pragma once
 
-// One host's part in the ledger: the desk for the requests that entered here, and a writer for every shard
-// that rendezvous hashing gives to this host. Meets ClaimPort.
+// LedgerHost is one host's part in the ledger: a LedgerClient for the requests that entered here, and a LedgerWriter for each shard that
+// rendezvous hashing assigns to this host. Satisfies ClaimPort.
 //
-// What it promises: see LedgerClient for what a caller may be told and LedgerWriter for at most once. Claims that
-// arrive while the event loop is busy are sent together. A host that loses a shard stops writing for it; it need
-// not know when the next one starts, since the segment numbers fence it off.
+// Guarantees: see LedgerClient for what a caller's answer means and LedgerWriter for at-most-once. Claims that arrive in the same event loop
+// turn are sent together. A host that loses a shard stops writing for it. It needn't know when the next owner starts, since the segment
+// numbers fence it off.
 //
-// Use: create with std::make_shared, start() once, setHosts() at each change of the live hosts (this host
-// included while it may own shards; leave it out to hand its shards over before a planned stop), stop() at the end.
-// The object API, the transport and the event loop must outlive it. Handlers are called from the event loop, never from
-// within claim().
+// Use: create with std::make_shared, start() once, setHosts() at each change of the live hosts, stop() at the end. The hosts include this one
+// while it may own shards; leave it out to hand its shards over before a planned stop. The object API, the transport and the
+// event loop must outlive it. Handlers are called from the event loop, never from within claim().
 //
-// Cost: one frame a shard and event loop turn towards the owner, one back; platform calls as in LedgerWriter.
+// Cost: one frame a shard and event loop turn to the owner and one back; platform calls as in LedgerWriter.
 
 #include "base/requestid.h"
 #include "base/sessiontimer.h"
@@ -33,22 +32,22 @@
 struct LedgerHostOptions
 {
     HostId self;
-    std::uint32_t shards = 4; ///< the same on every host
+    std::uint32_t shards = 4; ///< must be the same on every host
     LedgerWriterOptions writer;
     Duration resendAfter = 300ms;
     std::size_t maximumClaims = 10'000; ///< open, running and ending claims of this host
-    std::uint64_t seed = 0; ///< of the back-off's jitter; 0: a fresh one
+    std::uint64_t seed = 0; ///< seed of the backoff's jitter; 0: derived from the process id
 };
 
 struct LedgerHostStatus
 {
-    LedgerClientStatus desk;
-    std::map<std::uint32_t, LedgerWriterStatus> writers; ///< by shard, for the shards served here
+    LedgerClientStatus client;
+    std::map<std::uint32_t, LedgerWriterStatus> writers; ///< by shard, for the shards that this host serves
 };
 
-/** Reads a segment as the platform holds it; empty when it is none or was tampered with. */
+/** Parses a segment as the platform stores it; empty when the object is not a valid segment of the shard. */
 std::optional<StoredSegment> storedSegment(std::uint32_t shard, const StoredObject &object);
-/** Reads a whole list; empty when a segment in it cannot be read. Other keys are skipped. */
+/** Parses a listing; empty when a segment in it is invalid. Objects under other keys are skipped. */
 std::optional<std::vector<StoredSegment>> storedSegments(std::uint32_t shard, const std::vector<StoredObject> &objects);
 
 template <Clock ClockType, ObjectApi Api, PeerTransport Transport>
@@ -69,9 +68,9 @@
     void setHosts(std::span<const HostId> live)
     {
         m_live.assign(live.begin(), live.end());
-        m_desk.setHosts(live);
+        m_client.setHosts(live);
         for (std::uint32_t shard = 0; shard < m_options.shards; ++shard) {
-            assignShard(shard, m_desk.owner(shard) == m_options.self);
+            assignShard(shard, m_client.owner(shard) == m_options.self);
         }
         schedulePump();
     }
@@ -79,31 +78,31 @@
     /** Calls onAnswer exactly once, at the latest when the deadline passes or on stop(). */
     void claim(const ClaimKey &key, const RequestId &request, Duration deadlineIn, ClaimHandler onAnswer)
     {
-        const ClaimToken token = m_desk.claim(key, request, deadlineIn, ClockType::now());
+        const ClaimToken token = m_client.claim(key, request, deadlineIn, ClockType::now());
         m_handlers.emplace(token, std::move(onAnswer));
         schedulePump();
     }
 
-    /** Must follow every grant, so that repeats are told the end. */
+    /** Must be called after every grant, so that repeats receive the final state. */
     void finish(const ClaimKey &key, const RequestId &request, ClaimState state)
     {
-        m_desk.finish(key, request, state);
+        m_client.finish(key, request, state);
         schedulePump();
     }
 
     LedgerHostStatus status() const
     {
-        LedgerHostStatus status{m_desk.status(), {}};
+        LedgerHostStatus status{m_client.status(), {}};
         for (const auto &[shard, writer] : m_writers) {
             status.writers[shard] = writer.status();
         }
         return status;
     }
 
-    /** True when no claim is open, running or waiting for its end to become durable: a planned stop may go on. */
+    /** True when no claim is open, running or waiting for its end to become durable: a planned stop may proceed. */
     bool isQuiet() const
     {
-        const LedgerClientStatus status = m_desk.status();
+        const LedgerClientStatus status = m_client.status();
         return status.open + status.running + status.ending == 0;
     }
 
@@ -124,7 +123,7 @@
         , m_options(options)
         , m_process(process)
         , m_random(options.seed != 0 ? options.seed : std::hash<std::string>()(process))
-        , m_desk({options.self, process, options.shards, options.resendAfter, options.maximumClaims})
+        , m_client({options.self, process, options.shards, options.resendAfter, options.maximumClaims})
         , m_timer(context)
     {
     }
@@ -143,7 +142,7 @@
     {
         const Result<LedgerRequests, LedgerFrameError> requests = decodeRequests(from, payload);
         if (!requests) {
-            m_log.warn("refused malformed claims from " + from.text());
+            m_log.warn("dropped a malformed claim frame from " + from.text());
             return;
         }
         takeRequests(from, requests.value());
@@ -153,16 +152,16 @@
     {
         const Result<std::vector<LedgerAnswer>, LedgerFrameError> answers = decodeAnswers(payload);
         if (!answers) {
-            m_log.warn("refused malformed answers from " + from.text());
+            m_log.warn("dropped a malformed answer frame from " + from.text());
             return;
         }
         for (const LedgerAnswer &answer : answers.value()) {
-            m_desk.receive(answer, ClockType::now());
+            m_client.receive(answer, ClockType::now());
         }
         schedulePump();
     }
 
-    /** Claims for a shard that this host does not own are dropped: their desk sends them again when the views agree. */
+    /** Drops claims and ends for a shard that this host has no writer for: the client resends them once both hosts agree on the owner. */
     void takeRequests(const HostId &from, const LedgerRequests &requests)
     {
         const auto writer = m_writers.find(requests.shard);
@@ -183,7 +182,7 @@
     {
         const auto found = m_writers.find(shard);
         if (own && found == m_writers.end()) {
-            m_log.info("writes shard " + std::to_string(shard));
+            m_log.info("starts writing shard " + std::to_string(shard));
             m_writers.try_emplace(shard, m_process + "/" + std::to_string(shard), m_options.writer);
         } else if (own) {
             found->second.resume();
@@ -217,7 +216,7 @@
 
     void deliverAnswers()
     {
-        for (const TokenAnswer &answer : m_desk.takeAnswers(ClockType::now())) {
+        for (const TokenAnswer &answer : m_client.takeAnswers(ClockType::now())) {
             const auto found = m_handlers.find(answer.token);
             if (found == m_handlers.end()) {
                 m_log.error("answered a claim twice; the second answer was dropped");
@@ -231,7 +230,7 @@
 
     void sendRequests()
     {
-        for (const OutgoingRequests &message : m_desk.takeMessages(ClockType::now())) {
+        for (const OutgoingRequests &message : m_client.takeMessages(ClockType::now())) {
             if (message.to == m_options.self) {
                 takeRequests(message.to, message.requests);
             } else {
@@ -244,7 +243,7 @@
     {
         const Result<void, SendError> sent = m_transport.send(to, kind, std::move(payload));
         if (!sent) {
-            m_log.debug("could not send to " + to.text() + "; the desk sends again");
+            m_log.debug("could not send to " + to.text() + "; the message will be resent");
         }
     }
 
@@ -263,7 +262,7 @@
                 answers[answer.to].push_back(std::move(answer.answer));
             }
         }
-        std::erase_if(m_writers, [this](const auto &entry) { return entry.second.isIdle() && m_desk.owner(entry.first) != m_options.self; });
+        std::erase_if(m_writers, [this](const auto &entry) { return entry.second.isIdle() && m_client.owner(entry.first) != m_options.self; });
         for (const auto &[to, batch] : answers) {
             sendAnswers(to, batch);
         }
@@ -273,7 +272,7 @@
     {
         if (to == m_options.self) {
             for (const LedgerAnswer &answer : answers) {
-                m_desk.receive(answer, ClockType::now());
+                m_client.receive(answer, ClockType::now());
             }
             schedulePump();
             return;
@@ -354,15 +353,15 @@
 
     void finishRemoval(std::uint32_t shard, const PlatformResult<ObjectVersion> &result)
     {
-        // Another version is a stray one that no reader counts; the next list shows it again.
-        const bool gone = result || result.error().kind == PlatformErrorKind::NotFound || result.error().kind == PlatformErrorKind::Conflict;
-        m_writers.at(shard).removalDone(gone, ClockType::now(), m_random);
+        // An object with another version is a stray one that no reader counts; the next list returns it again.
+        const bool removed = result || result.error().kind == PlatformErrorKind::NotFound || result.error().kind == PlatformErrorKind::Conflict;
+        m_writers.at(shard).removalDone(removed, ClockType::now(), m_random);
         schedulePump();
     }
 
     void armTimer()
     {
-        TimePoint wake = m_desk.wakeAt();
+        TimePoint wake = m_client.wakeAt();
         for (const auto &[shard, writer] : m_writers) {
             wake = std::min(wake, writer.wakeAt());
         }
@@ -391,7 +390,7 @@
     Random m_random;
     Log m_log{LogPart::Ledger};
     std::vector<HostId> m_live;
-    LedgerClient m_desk;
+    LedgerClient m_client;
     std::map<std::uint32_t, LedgerWriter> m_writers;
     std::unordered_map<ClaimToken, ClaimHandler> m_handlers;
     SessionTimer<ClockType> m_timer;
--- a/src/ledger/ledgermeasure_test.cpp
+++ b/src/ledger/ledgermeasure_test.cpp
@@ -1,7 +1,7 @@
-// Measures one object a claim against group commit on virtual time: `ledger_test "[.measure]"`.
+// Compares one object a claim with group commit on virtual time: `ledger_test "[.measure]"`.
 //
-// Open-loop arrivals, a platform that answers after a fixed time and refuses writes over its rate. Hops between
-// hosts are left out: they are the same for both.
+// Arrivals are open-loop; the platform answers after a fixed time and refuses writes above its rate. Hops between hosts are left out, since
+// they are the same for both.
 
 #include "base/backoff.h"
 #include "base/tokenbucket.h"
@@ -30,7 +30,7 @@
     Duration appendInterval;
 };
 
-/** Events in order of time, on a time that only they advance. */
+/** A discrete-event simulation on virtual time. */
 class Simulation
 {
 public:
@@ -96,7 +96,7 @@
         } else {
             const std::uint32_t shard = static_cast<std::uint32_t>(m_random.below(m_load.shards));
             m_arrived[token] = m_now;
-            // Ids as long as the real ones: digest, token and request id.
+            // The ids are as long as real digests, tokens and request ids.
             m_writers[shard].claim({ClaimKey("0123456789abcdef0123456789abcdef" + token),
                                     ClaimToken(token),
                                     RequestId("0123456789abcdef0123456789abcdef"),
--- a/src/ledger/ledgermessages.cpp
+++ b/src/ledger/ledgermessages.cpp
@@ -95,7 +95,7 @@
             static_cast<ClaimState>(entry.state())};
 }
 
-// The wire's enums are this slice's own, value for value.
+// The enums of the schema have the same values as those of this folder, so that they can be cast.
 static_assert(static_cast<int>(LedgerWire::AnswerKind::Ended) == static_cast<int>(LedgerAnswerKind::Ended));
 static_assert(static_cast<int>(LedgerWire::State::Unknown) == static_cast<int>(ClaimState::Unknown));
 
--- a/src/ledger/ledgersearch_test.cpp
+++ b/src/ledger/ledgersearch_test.cpp
@@ -1,5 +1,5 @@
-// Two writers of one shard against one store, every step chosen by the test: a bounded exhaustive search and
-// a property over longer random runs. A step is one event of one part, so a writer that takes none is paused.
+// Two writers of one shard on one store, with each step chosen by the test: a bounded exhaustive search, and a property over longer random runs.
+// A step is one event of one component, so a writer that takes no step is paused.
 
 #include "ledger/ledgerwriter.h"
 
@@ -15,11 +15,11 @@
 namespace
 {
 
-/** What is taken out, to see that the search finds it. */
+/** A fault put into the model, to check that the search detects it. */
 enum class Mutant : std::uint8_t {
     None,
     UnconditionalWrite, ///< the platform overwrites a segment instead of refusing it
-    NoReadToEnd, ///< a new writer learns where the log ends, but not what stands in it
+    NoReadToEnd, ///< a new writer learns where the log ends, but not its contents
 };
 
 struct Bounds
@@ -28,31 +28,31 @@
     std::size_t keys = 1;
     unsigned lostAnswers = 1;
     unsigned outages = 1;
-    unsigned claimSends = 2; ///< to how many writers a token's desk may send its claim
-    unsigned endSends = 0; ///< how often a token's desk may send its end; 0: it neither gives up nor finishes
-    bool deadlines = true; ///< whether a desk may give up on an open claim
+    unsigned claimSends = 2; ///< number of writers to which a token's client may send its claim
+    unsigned endSends = 0; ///< how often a token's client may send its end; 0: it neither gives up nor finishes
+    bool deadlines = true; ///< whether a client may give up on an open claim
     Mutant mutant = Mutant::None;
 };
 
-enum class Token : std::uint8_t {
+enum class TokenState : std::uint8_t {
     New,
     Open,
     Dispatched,
     Finishing, ///< ran; its end is not yet known to be durable
-    Withdrawing, ///< told "not run"; the withdrawal is not yet confirmed
-    Forgotten, ///< its end is confirmed: the desk knows nothing of it any more
+    Withdrawing, ///< answered "not run"; the withdrawal is not yet confirmed
+    Forgotten, ///< its end is confirmed and the client has removed it
 };
 
 enum class StepKind : std::uint8_t {
-    Claim, ///< token's desk asks writer
-    Deadline, ///< token's desk gives up
+    Claim, ///< token's client sends its claim to writer
+    Deadline, ///< token's client gives up
     Finish, ///< token's request ended
-    SendEnd, ///< token's desk tells writer
+    SendEnd, ///< token's client sends its end to writer
     Call, ///< writer sends its next call
-    Perform, ///< the platform carries writer's call out
-    Deliver, ///< writer gets the answer
-    Lose, ///< writer's answer is lost; if the call was not performed, it still may be
-    Refuse, ///< the platform cannot be reached
+    Perform, ///< the platform performs writer's call
+    Deliver, ///< writer receives the answer
+    Lose, ///< writer's answer is lost; a call that was not performed may still be performed later
+    Refuse, ///< the platform is unreachable
     LateEffect, ///< a call whose answer was lost takes effect
 };
 
@@ -64,10 +64,10 @@
 };
 
 constexpr std::size_t writerCount = 2;
-// A search that reaches it is reported as cut off and fails.
+// A search that reaches this limit is reported as cut off and fails.
 constexpr std::size_t stateLimit = 300'000;
 
-struct Flight
+struct PendingCall
 {
     LedgerCall call;
     bool performed = false;
@@ -80,13 +80,13 @@
 public:
     explicit World(const Bounds &bounds)
         : m_bounds(bounds)
-        , m_tokens(bounds.tokens, Token::New)
-        , m_asked(bounds.tokens)
+        , m_tokens(bounds.tokens, TokenState::New)
+        , m_requestedFrom(bounds.tokens)
         , m_sends(bounds.tokens, bounds.endSends)
         , m_dispatched(bounds.keys, 0)
     {
         LedgerWriterOptions options;
-        options.retryFirst = 0ms;
+        options.initialBackoff = 0ms;
         options.endDelay = 0ms;
         options.appendInterval = 0ms;
         for (std::size_t writer = 0; writer < writerCount; ++writer) {
@@ -102,24 +102,24 @@
             enabledFor(token, steps);
         }
         for (std::size_t writer = 0; writer < writerCount; ++writer) {
-            const std::optional<Flight> &flight = m_flights[writer];
-            if (!flight) {
+            const std::optional<PendingCall> &pending = m_pending[writer];
+            if (!pending) {
                 LedgerWriter probe = m_writers[writer];
                 if (probe.nextCall(m_now)) {
                     steps.push_back({StepKind::Call, 0, writer});
                 }
                 continue;
             }
-            steps.push_back({flight->performed ? StepKind::Deliver : StepKind::Perform, 0, writer});
+            steps.push_back({pending->performed ? StepKind::Deliver : StepKind::Perform, 0, writer});
             if (m_bounds.lostAnswers > 0) {
                 steps.push_back({StepKind::Lose, 0, writer});
             }
-            if (m_bounds.outages > 0 && !flight->performed) {
+            if (m_bounds.outages > 0 && !pending->performed) {
                 steps.push_back({StepKind::Refuse, 0, writer});
             }
         }
-        for (std::size_t ghost = 0; ghost < m_ghosts.size(); ++ghost) {
-            steps.push_back({StepKind::LateEffect, ghost, 0});
+        for (std::size_t lostCall = 0; lostCall < m_lostCalls.size(); ++lostCall) {
+            steps.push_back({StepKind::LateEffect, lostCall, 0});
         }
         return steps;
     }
@@ -127,48 +127,48 @@
     void take(const Step &step)
     {
         LedgerWriter &writer = m_writers[step.writer];
-        std::optional<Flight> &flight = m_flights[step.writer];
+        std::optional<PendingCall> &pending = m_pending[step.writer];
         switch (step.kind) {
         case StepKind::Claim:
-            m_tokens[step.token] = Token::Open;
-            m_asked[step.token].insert(step.writer);
+            m_tokens[step.token] = TokenState::Open;
+            m_requestedFrom[step.token].insert(step.writer);
             writer.claim({key(step.token), name(step.token), RequestId("r" + std::to_string(step.token)), host(step.token), 1h}, m_now);
             break;
         case StepKind::Deadline:
-            m_tokens[step.token] = Token::Withdrawing;
+            m_tokens[step.token] = TokenState::Withdrawing;
             break;
         case StepKind::Finish:
-            m_tokens[step.token] = Token::Finishing;
+            m_tokens[step.token] = TokenState::Finishing;
             break;
         case StepKind::SendEnd: {
             --m_sends[step.token];
-            const bool ran = m_tokens[step.token] == Token::Finishing;
+            const bool ran = m_tokens[step.token] == TokenState::Finishing;
             writer.end(host(step.token), {key(step.token), name(step.token), ran ? RecordKind::Finish : RecordKind::Withdraw, ClaimState::Completed}, m_now);
             break;
         }
         case StepKind::Call:
-            flight = Flight{*writer.nextCall(m_now), false, false, {}};
+            pending = PendingCall{*writer.nextCall(m_now), false, false, {}};
             break;
         case StepKind::Perform:
-            perform(*flight);
+            perform(*pending);
             break;
         case StepKind::Deliver:
-            deliver(writer, *std::exchange(flight, std::nullopt));
+            deliver(writer, *std::exchange(pending, std::nullopt));
             break;
         case StepKind::Lose:
             --m_bounds.lostAnswers;
-            if (!flight->performed && flight->call.kind == LedgerCallKind::Append) {
-                m_ghosts.push_back(*flight);
+            if (!pending->performed && pending->call.kind == LedgerCallKind::Append) {
+                m_lostCalls.push_back(*pending);
             }
-            fail(writer, std::exchange(flight, std::nullopt)->call.kind, PlatformErrorKind::Unknown);
+            fail(writer, std::exchange(pending, std::nullopt)->call.kind, PlatformErrorKind::Unknown);
             break;
         case StepKind::Refuse:
             --m_bounds.outages;
-            fail(writer, std::exchange(flight, std::nullopt)->call.kind, PlatformErrorKind::Unreachable);
+            fail(writer, std::exchange(pending, std::nullopt)->call.kind, PlatformErrorKind::Unreachable);
             break;
         case StepKind::LateEffect:
-            perform(m_ghosts[step.token]);
-            m_ghosts.erase(m_ghosts.begin() + static_cast<std::ptrdiff_t>(step.token));
+            perform(m_lostCalls[step.token]);
+            m_lostCalls.erase(m_lostCalls.begin() + static_cast<std::ptrdiff_t>(step.token));
             break;
         }
         for (LedgerWriter &each : m_writers) {
@@ -193,17 +193,17 @@
         for (const auto &[number, segment] : m_store) {
             text += std::to_string(number) + segmentText(segment);
         }
-        for (const std::optional<Flight> &flight : m_flights) {
-            text += flight ? flightText(*flight) : "-";
+        for (const std::optional<PendingCall> &pending : m_pending) {
+            text += pending ? pendingText(*pending) : "-";
         }
-        for (const Flight &ghost : m_ghosts) {
-            text += "ghost" + flightText(ghost);
+        for (const PendingCall &lostCall : m_lostCalls) {
+            text += "ghost" + pendingText(lostCall);
         }
-        for (const Token token : m_tokens) {
+        for (const TokenState token : m_tokens) {
             text += std::to_string(static_cast<int>(token));
         }
-        for (const std::set<std::size_t> &asked : m_asked) {
-            for (const std::size_t writer : asked) {
+        for (const std::set<std::size_t> &requestedFrom : m_requestedFrom) {
+            for (const std::size_t writer : requestedFrom) {
                 text += std::to_string(writer);
             }
             text += ",";
@@ -236,85 +236,85 @@
         }
         return text + ";";
     }
-    static std::string flightText(const Flight &flight)
+    static std::string pendingText(const PendingCall &pending)
     {
-        std::string text = std::to_string(static_cast<int>(flight.call.kind)) + segmentText(flight.call.segment) + (flight.performed ? "p" : "s")
-            + (flight.refused ? "r" : "o") + std::to_string(flight.call.number);
-        for (const StoredSegment &seen : flight.seen) {
+        std::string text = std::to_string(static_cast<int>(pending.call.kind)) + segmentText(pending.call.segment) + (pending.performed ? "p" : "s")
+            + (pending.refused ? "r" : "o") + std::to_string(pending.call.number);
+        for (const StoredSegment &seen : pending.seen) {
             text += std::to_string(seen.number);
         }
         return text;
     }
 
-    /** Tokens and writers are alike at first, so the first token asks first, and the first writer. */
-    bool mayAsk(std::size_t token, std::size_t writer) const
+    /** Tokens and writers are symmetric at the start, so token 0 claims first, and at writer 0: this removes symmetric runs. */
+    bool mayRequest(std::size_t token, std::size_t writer) const
     {
-        const std::set<std::size_t> &asked = m_asked[token];
-        const bool inOrder = token == 0 ? writer == 0 || !asked.empty() : !m_asked[token - 1].empty();
-        const bool open = m_tokens[token] == Token::New || m_tokens[token] == Token::Open;
-        return open && inOrder && !asked.contains(writer) && asked.size() < m_bounds.claimSends;
+        const std::set<std::size_t> &requestedFrom = m_requestedFrom[token];
+        const bool inOrder = token == 0 ? writer == 0 || !requestedFrom.empty() : !m_requestedFrom[token - 1].empty();
+        const bool open = m_tokens[token] == TokenState::New || m_tokens[token] == TokenState::Open;
+        return open && inOrder && !requestedFrom.contains(writer) && requestedFrom.size() < m_bounds.claimSends;
     }
 
     void enabledFor(std::size_t token, std::vector<Step> &steps) const
     {
-        const Token state = m_tokens[token];
+        const TokenState state = m_tokens[token];
         for (std::size_t writer = 0; writer < writerCount; ++writer) {
-            if (mayAsk(token, writer)) {
+            if (mayRequest(token, writer)) {
                 steps.push_back({StepKind::Claim, token, writer});
             }
-            if ((state == Token::Finishing || state == Token::Withdrawing) && m_sends[token] > 0) {
+            if ((state == TokenState::Finishing || state == TokenState::Withdrawing) && m_sends[token] > 0) {
                 steps.push_back({StepKind::SendEnd, token, writer});
             }
         }
-        if (state == Token::Open && m_bounds.endSends > 0 && m_bounds.deadlines) {
+        if (state == TokenState::Open && m_bounds.endSends > 0 && m_bounds.deadlines) {
             steps.push_back({StepKind::Deadline, token, 0});
         }
-        if (state == Token::Dispatched && m_bounds.endSends > 0) {
+        if (state == TokenState::Dispatched && m_bounds.endSends > 0) {
             steps.push_back({StepKind::Finish, token, 0});
         }
     }
 
-    void perform(Flight &flight)
+    void perform(PendingCall &pending)
     {
-        flight.performed = true;
-        const auto found = m_store.find(flight.call.number);
-        switch (flight.call.kind) {
+        pending.performed = true;
+        const auto found = m_store.find(pending.call.number);
+        switch (pending.call.kind) {
         case LedgerCallKind::List:
             for (const auto &[number, segment] : m_store) {
-                flight.seen.push_back({number, 1, segment});
+                pending.seen.push_back({number, 1, segment});
             }
-            if (m_bounds.mutant == Mutant::NoReadToEnd && !flight.seen.empty()) {
-                flight.seen = {flight.seen.back()};
-                flight.seen.back().segment.base = flight.seen.back().number;
-                flight.seen.back().segment.records.clear();
+            if (m_bounds.mutant == Mutant::NoReadToEnd && !pending.seen.empty()) {
+                pending.seen = {pending.seen.back()};
+                pending.seen.back().segment.base = pending.seen.back().number;
+                pending.seen.back().segment.records.clear();
             }
             break;
         case LedgerCallKind::ReadBack:
             if (found != m_store.end()) {
-                flight.seen.push_back({found->first, 1, found->second});
+                pending.seen.push_back({found->first, 1, found->second});
             }
             break;
         case LedgerCallKind::Append:
-            flight.refused = found != m_store.end() && m_bounds.mutant != Mutant::UnconditionalWrite;
-            if (!flight.refused) {
-                m_store[flight.call.number] = flight.call.segment;
+            pending.refused = found != m_store.end() && m_bounds.mutant != Mutant::UnconditionalWrite;
+            if (!pending.refused) {
+                m_store[pending.call.number] = pending.call.segment;
             }
             break;
         }
     }
 
-    void deliver(LedgerWriter &writer, const Flight &flight)
+    void deliver(LedgerWriter &writer, const PendingCall &pending)
     {
-        if (flight.call.kind == LedgerCallKind::List) {
-            writer.listDone(flight.seen, m_now, m_random);
-        } else if (flight.call.kind == LedgerCallKind::Append && !flight.refused) {
+        if (pending.call.kind == LedgerCallKind::List) {
+            writer.listDone(pending.seen, m_now, m_random);
+        } else if (pending.call.kind == LedgerCallKind::Append && !pending.refused) {
             writer.appendDone(1, m_now);
-        } else if (flight.call.kind == LedgerCallKind::Append) {
-            fail(writer, flight.call.kind, PlatformErrorKind::Conflict);
-        } else if (!flight.seen.empty()) {
-            writer.readBackDone(flight.seen.front(), m_now);
+        } else if (pending.call.kind == LedgerCallKind::Append) {
+            fail(writer, pending.call.kind, PlatformErrorKind::Conflict);
+        } else if (!pending.seen.empty()) {
+            writer.readBackDone(pending.seen.front(), m_now);
         } else {
-            fail(writer, flight.call.kind, PlatformErrorKind::NotFound);
+            fail(writer, pending.call.kind, PlatformErrorKind::NotFound);
         }
     }
 
@@ -329,21 +329,21 @@
         }
     }
 
-    /** The desk's part, as plainly as it can be said. */
+    /** A minimal model of the client. */
     void receive(const LedgerAnswer &answer)
     {
         const std::size_t token = static_cast<std::size_t>(std::stoi(answer.token.text().substr(1)));
-        Token &state = m_tokens[token];
-        if (answer.kind == LedgerAnswerKind::Granted && state == Token::Open) {
-            state = Token::Dispatched;
+        TokenState &state = m_tokens[token];
+        if (answer.kind == LedgerAnswerKind::Granted && state == TokenState::Open) {
+            state = TokenState::Dispatched;
             ++m_dispatched[token % m_bounds.keys];
-        } else if (answer.kind == LedgerAnswerKind::Granted && state == Token::Forgotten) {
-            state = Token::Withdrawing;
+        } else if (answer.kind == LedgerAnswerKind::Granted && state == TokenState::Forgotten) {
+            state = TokenState::Withdrawing;
             m_sends[token] = std::max(m_sends[token], 1U);
-        } else if (answer.kind == LedgerAnswerKind::Repeated && state == Token::Open) {
-            state = Token::Withdrawing;
-        } else if (answer.kind == LedgerAnswerKind::Ended && (state == Token::Finishing || state == Token::Withdrawing)) {
-            state = Token::Forgotten;
+        } else if (answer.kind == LedgerAnswerKind::Repeated && state == TokenState::Open) {
+            state = TokenState::Withdrawing;
+        } else if (answer.kind == LedgerAnswerKind::Ended && (state == TokenState::Finishing || state == TokenState::Withdrawing)) {
+            state = TokenState::Forgotten;
         }
     }
 
@@ -351,11 +351,11 @@
     TimePoint m_now{1h};
     Random m_random{1};
     std::vector<LedgerWriter> m_writers;
-    std::array<std::optional<Flight>, writerCount> m_flights;
-    std::vector<Flight> m_ghosts;
+    std::array<std::optional<PendingCall>, writerCount> m_pending;
+    std::vector<PendingCall> m_lostCalls;
     std::map<SegmentNumber, LedgerSegment> m_store;
-    std::vector<Token> m_tokens;
-    std::vector<std::set<std::size_t>> m_asked;
+    std::vector<TokenState> m_tokens;
+    std::vector<std::set<std::size_t>> m_requestedFrom;
     std::vector<unsigned> m_sends;
     std::vector<unsigned> m_dispatched;
 };
@@ -404,8 +404,8 @@
 
 TEST_CASE("no order of steps of two writers dispatches a key twice", "[at-most-once]")
 {
-    // The caller repeats a request through another host and both run. Two writers believe that they own the shard; either is paused
-    // between any two steps, an answer is lost with, without or before its effect, and the platform is out of reach once.
+    // Guards against a request and its repeat through another host both running. Two writers consider themselves owner of the shard. Either may be
+    // paused between any two steps, an answer may be lost with, without or before its effect, and the platform may be unreachable once.
     // Without the fence the second writer's segment replaces or ignores the first one's, and both claims are granted.
     struct Row
     {
@@ -415,7 +415,7 @@
     const std::array<Row, 3> rows{{
         {"claims sent to both writers, lost answer, outage", {2, 1, 1, 1, 2, 0, false, Mutant::None}},
         {"claims and ends, lost answer", {2, 1, 1, 0, 1, 1, true, Mutant::None}},
-        {"three claims and their ends, pauses alone", {3, 1, 0, 0, 1, 1, false, Mutant::None}},
+        {"three claims and their ends, pauses only", {3, 1, 0, 0, 1, 1, false, Mutant::None}},
     }};
     for (const Row &row : rows) {
         const SearchResult result = search(row.bounds, stateLimit);
@@ -425,7 +425,7 @@
     }
 }
 
-TEST_CASE("the search finds a ledger without its fence", "[at-most-once]")
+TEST_CASE("the search detects a ledger whose fence is removed", "[at-most-once]")
 {
     Bounds bounds;
     bounds.mutant = Mutant::UnconditionalWrite;
@@ -440,7 +440,7 @@
 
 TEST_CASE("random runs of two writers dispatch no key twice", "[at-most-once]")
 {
-    // As above, with six claims on two keys, more lost answers and ends that are sent again: too many states to visit all.
+    // As the exhaustive search, with six claims on two keys, more lost answers and ends that are resent: too many states to visit them all.
     rc::prop("each key is dispatched at most once", [] {
         World world(Bounds{6, 2, 4, 3, 1, 2, true, Mutant::None});
         const std::vector<unsigned> choices =
@@ -451,7 +451,7 @@
                 break;
             }
             const Step &step = steps[choice % steps.size()];
-            // Taken as often as the other steps, deadlines would end most claims before a grant, and all claims would come at once.
+            // If chosen as often as the other steps, deadlines would end most claims before a grant, and all claims would arrive at once.
             const bool rare = step.kind == StepKind::Deadline || step.kind == StepKind::Claim;
             if (!rare || choice / steps.size() % 8 == 0) {
                 world.take(step);
--- a/src/ledger/ledgerwriter.cpp
+++ b/src/ledger/ledgerwriter.cpp
@@ -1,10 +1,9 @@
 // Group commit on a log of create-if-absent objects.
 //
-// The log is the only truth and the table its fold, so each answer is read off the table and none depends on
-// which try, or which writer, made a segment durable. That leaves three states between calls: the log must be
-// listed (m_need is List), segment m_next must be read (ReadBack), or m_next may be written (Append).
-// One object a claim was the simpler way; it spends one of the platform's writes on every claim and was
-// measured against this one (ledgermeasure_test.cpp).
+// The table is a fold of the log and every answer is read from the table, so no answer depends on which attempt, or which writer, made a segment
+// durable. Between calls there are three states: the log must be listed (m_nextCall is List), segment m_next must be read (ReadBack), or m_next
+// may be written (Append).
+// One object a claim would be simpler, but it spends one of the platform's writes on each claim; ledgermeasure_test.cpp compares the two.
 
 #include "ledger/ledgerwriter.h"
 
@@ -17,9 +16,9 @@
 namespace
 {
 
-// A record larger than this is refused, so that a batch always holds at least one record.
+// A larger record is rejected, so that a batch always has space for at least one record.
 constexpr std::size_t maxRecordBytes = 4096;
-// Doublings of the back-off before it stops growing; the ceiling is reached long before.
+// Maximum doublings of the backoff; it reaches maxBackoff long before.
 constexpr unsigned maxDoublings = 20;
 
 LedgerRecord claimRecord(const ClaimRequest &request)
@@ -47,7 +46,7 @@
 
 void LedgerWriter::claim(const ClaimRequest &request, TimePoint now)
 {
-    if (m_retired || m_known.contains(request.token)) {
+    if (m_retired || m_queuedTokens.contains(request.token)) {
         return;
     }
     const ClaimHolder *holder = m_listed ? m_table.find(request.key) : nullptr;
@@ -63,7 +62,7 @@
         m_answers.push_back({request.host, {LedgerAnswerKind::Unavailable, request.key, request.token, {}, {}, {}}});
         return;
     }
-    m_known.insert(request.token);
+    m_queuedTokens.insert(request.token);
     m_claims.push_back({request, now + request.deadlineIn});
 }
 
@@ -75,7 +74,7 @@
     if (std::any_of(m_ends.begin(), m_ends.end(), [&end](const QueuedEnd &queued) { return queued.end.token == end.token; })) {
         return;
     }
-    forgetQueued(end.token);
+    removeQueuedClaim(end.token);
     if (m_listed && isEndSettled(end)) {
         acknowledge(from, end);
         return;
@@ -91,9 +90,9 @@
     m_retired = true;
     m_claims.clear();
     m_ends.clear();
-    m_known.clear();
+    m_queuedTokens.clear();
     for (const QueuedClaim &claim : m_batch) {
-        m_known.insert(claim.request.token);
+        m_queuedTokens.insert(claim.request.token);
     }
 }
 
@@ -104,41 +103,41 @@
 
 std::optional<LedgerCall> LedgerWriter::nextCall(TimePoint now)
 {
-    if (m_retired || m_callUnderWay || now < m_retryAt) {
+    if (m_retired || m_callInFlight || now < m_retryAt) {
         return std::nullopt;
     }
-    if (m_need == LedgerCallKind::Append && !hasWork(now)) {
+    if (m_nextCall == LedgerCallKind::Append && !hasWork(now)) {
         return std::nullopt;
     }
-    if (m_need == LedgerCallKind::Append && !isTrusted(now)) {
-        m_need = LedgerCallKind::List;
+    if (m_nextCall == LedgerCallKind::Append && !isPositionFresh(now)) {
+        m_nextCall = LedgerCallKind::List;
     }
-    LedgerCall call{m_need, m_next, {}};
-    if (m_need == LedgerCallKind::Append) {
+    LedgerCall call{m_nextCall, m_next, {}};
+    if (m_nextCall == LedgerCallKind::Append) {
         call = startAppend(now);
         if (call.segment.records.empty()) {
             return std::nullopt;
         }
     }
-    m_callUnderWay = true;
+    m_callInFlight = true;
     m_sentAt = now;
     return call;
 }
 
 void LedgerWriter::listDone(const std::vector<StoredSegment> &segments, TimePoint now, Random &random)
 {
-    if (!isWhole(segments)) {
+    if (!isComplete(segments)) {
         ++m_counts.brokenLists;
         listFailed(now, random);
         return;
     }
     callEnded();
     foldList(segments, now);
-    m_provenAt = m_sentAt;
-    m_need = LedgerCallKind::Append;
+    m_verifiedAt = m_sentAt;
+    m_nextCall = LedgerCallKind::Append;
     m_listed = true;
     m_failures = 0;
-    settle();
+    answerQueued();
 }
 
 void LedgerWriter::listFailed(TimePoint now, Random &random)
@@ -150,15 +149,15 @@
 void LedgerWriter::appendDone(ObjectVersion version, TimePoint now)
 {
     callEnded();
-    if (isTrusted(now)) {
+    if (isPositionFresh(now)) {
         foldNext({m_next, version, std::move(m_sent)}, now);
         return;
     }
-    // Failure: this host was frozen so long that the number may have been removed and was absent again. Symptom: the
-    // platform confirms an append that no reader counts. Listing the log shows whether it counts.
-    markDoubtful();
+    // This host was paused for so long that the number may have been removed and absent again. The platform then confirms an append that no
+    // reader counts. Listing the log shows whether it counts.
+    markBatchUncertain();
     returnBatch();
-    m_need = LedgerCallKind::List;
+    m_nextCall = LedgerCallKind::List;
 }
 
 void LedgerWriter::appendFailed(PlatformErrorKind kind, TimePoint now, Random &random)
@@ -167,11 +166,11 @@
     if (kind == PlatformErrorKind::Conflict) {
         ++m_counts.conflicts;
         m_conflicted = true;
-        m_need = LedgerCallKind::ReadBack;
+        m_nextCall = LedgerCallKind::ReadBack;
     } else if (kind == PlatformErrorKind::Unknown) {
         ++m_counts.lostAnswers;
-        markDoubtful();
-        m_need = LedgerCallKind::ReadBack;
+        markBatchUncertain();
+        m_nextCall = LedgerCallKind::ReadBack;
     } else {
         retryLater(now, random);
     }
@@ -181,8 +180,8 @@
 void LedgerWriter::readBackDone(const StoredSegment &segment, TimePoint now)
 {
     callEnded();
-    if (!isTrusted(now) || segment.number != m_next || segment.segment.base > segment.number) {
-        m_need = LedgerCallKind::List;
+    if (!isPositionFresh(now) || segment.number != m_next || segment.segment.base > segment.number) {
+        m_nextCall = LedgerCallKind::List;
         return;
     }
     foldNext(segment, now);
@@ -195,30 +194,30 @@
         retryLater(now, random);
         return;
     }
-    // Taken, yet absent: the log moved on so far that the segment was removed.
-    m_need = m_conflicted ? LedgerCallKind::List : LedgerCallKind::Append;
+    // A number that was taken and is now absent: the log advanced so far that the segment was removed.
+    m_nextCall = m_conflicted ? LedgerCallKind::List : LedgerCallKind::Append;
     retryLater(now, random);
 }
 
 std::optional<SegmentRemoval> LedgerWriter::nextRemoval(TimePoint now)
 {
-    if (m_retired || m_removalUnderWay || now < m_removeAt || m_kept.empty() || m_kept.front().number >= m_table.base()) {
+    if (m_retired || m_removalInFlight || now < m_removeAt || m_retained.empty() || m_retained.front().number >= m_table.base()) {
         return std::nullopt;
     }
-    m_removalUnderWay = true;
-    return SegmentRemoval{m_kept.front().number, m_kept.front().version};
+    m_removalInFlight = true;
+    return SegmentRemoval{m_retained.front().number, m_retained.front().version};
 }
 
 void LedgerWriter::removalDone(bool removed, TimePoint now, Random &random)
 {
-    m_removalUnderWay = false;
+    m_removalInFlight = false;
     if (!removed) {
-        m_removeAt = now + fromSeconds((1.0 + random.uniform()) * toSeconds(m_options.retryMost));
+        m_removeAt = now + fromSeconds((1.0 + random.uniform()) * toSeconds(m_options.maxBackoff));
         return;
     }
-    // A list that came in meanwhile may have shown the segment gone already.
-    if (!m_kept.empty() && m_kept.front().number < m_table.base()) {
-        m_kept.pop_front();
+    // A listing received in the meantime may have dropped the segment already.
+    if (!m_retained.empty() && m_retained.front().number < m_table.base()) {
+        m_retained.pop_front();
     }
 }
 
@@ -232,12 +231,12 @@
     if (m_retired) {
         return TimePoint::max();
     }
-    const bool removalWaits = !m_removalUnderWay && !m_kept.empty() && m_kept.front().number < m_table.base();
+    const bool removalWaits = !m_removalInFlight && !m_retained.empty() && m_retained.front().number < m_table.base();
     const TimePoint removal = removalWaits ? m_removeAt : TimePoint::max();
-    if (m_callUnderWay) {
+    if (m_callInFlight) {
         return removal;
     }
-    const TimePoint call = m_need == LedgerCallKind::Append ? workDueAt() : m_retryAt;
+    const TimePoint call = m_nextCall == LedgerCallKind::Append ? workDueAt() : m_retryAt;
     return std::min(removal, call);
 }
 
@@ -254,8 +253,8 @@
 
 std::string LedgerWriter::describe() const
 {
-    std::string line = "next " + std::to_string(m_next) + " need " + std::to_string(static_cast<int>(m_need)) + (m_listed ? " listed" : "")
-        + (m_callUnderWay ? " calling" : "") + (m_conflicted ? " conflicted" : "") + (m_retired ? " retired" : "") + " claims";
+    std::string line = "next " + std::to_string(m_next) + " need " + std::to_string(static_cast<int>(m_nextCall)) + (m_listed ? " listed" : "")
+        + (m_callInFlight ? " calling" : "") + (m_conflicted ? " conflicted" : "") + (m_retired ? " retired" : "") + " claims";
     for (const QueuedClaim &claim : m_claims) {
         line += " " + claim.request.token.text();
     }
@@ -268,7 +267,7 @@
         line += " " + queued.end.token.text();
     }
     line += " doubtful";
-    for (const ClaimToken &token : m_doubtful) {
+    for (const ClaimToken &token : m_uncertain) {
         line += " " + token.text();
     }
     return line + " table " + m_table.describe();
@@ -288,9 +287,9 @@
     return m_claims.empty() ? std::max(spaced, m_endsDue) : spaced;
 }
 
-bool LedgerWriter::isTrusted(TimePoint now) const
+bool LedgerWriter::isPositionFresh(TimePoint now) const
 {
-    return now - m_provenAt < m_options.retention / 2;
+    return now - m_verifiedAt < m_options.retention / 2;
 }
 
 Duration LedgerWriter::logClock(TimePoint now) const
@@ -303,8 +302,8 @@
     const Duration clock = logClock(now);
     LedgerSegment segment{m_id, std::max(m_table.base(), m_table.baseFor(clock - m_options.retention)), clock, {}};
     std::size_t bytes = 0;
-    const bool room = takeClaims(segment, bytes, now);
-    if (room) {
+    const bool hasSpace = takeClaims(segment, bytes, now);
+    if (hasSpace) {
         takeEnds(segment, bytes);
     }
     if (!segment.records.empty()) {
@@ -328,7 +327,7 @@
             segment.records.push_back(std::move(record));
             m_batch.push_back(claim);
         } else {
-            m_known.erase(claim.request.token);
+            m_queuedTokens.erase(claim.request.token);
         }
         m_claims.pop_front();
     }
@@ -352,7 +351,7 @@
     std::erase_if(m_claims, [this, now](const QueuedClaim &claim) {
         const bool expired = claim.deadline <= now;
         if (expired) {
-            m_known.erase(claim.request.token);
+            m_queuedTokens.erase(claim.request.token);
         }
         return expired;
     });
@@ -361,31 +360,31 @@
 void LedgerWriter::returnBatch()
 {
     if (m_retired) {
-        m_known.clear();
+        m_queuedTokens.clear();
     } else {
         m_claims.insert(m_claims.begin(), m_batch.begin(), m_batch.end());
     }
     m_batch.clear();
 }
 
-void LedgerWriter::markDoubtful()
+void LedgerWriter::markBatchUncertain()
 {
-    m_doubtNumber = m_next;
+    m_uncertainNumber = m_next;
     for (const QueuedClaim &claim : m_batch) {
-        m_doubtful.insert(claim.request.token);
+        m_uncertain.insert(claim.request.token);
     }
 }
 
 void LedgerWriter::callEnded()
 {
-    m_callUnderWay = false;
+    m_callInFlight = false;
 }
 
 void LedgerWriter::retryLater(TimePoint now, Random &random)
 {
     ++m_counts.failedCalls;
-    const double doubled = toSeconds(m_options.retryFirst) * static_cast<double>(1U << std::min(m_failures, maxDoublings));
-    const double ceiling = std::min(doubled, toSeconds(m_options.retryMost));
+    const double doubled = toSeconds(m_options.initialBackoff) * static_cast<double>(1U << std::min(m_failures, maxDoublings));
+    const double ceiling = std::min(doubled, toSeconds(m_options.maxBackoff));
     ++m_failures;
     m_retryAt = now + fromSeconds(random.uniform() * ceiling);
 }
@@ -393,15 +392,15 @@
 void LedgerWriter::foldNext(const StoredSegment &stored, TimePoint now)
 {
     m_table.fold(stored.number, stored.segment);
-    m_kept.push_back({stored.number, stored.version});
+    m_retained.push_back({stored.number, stored.version});
     m_lastClock = stored.segment.clock;
     m_lastFoldedAt = now;
-    m_provenAt = m_sentAt;
+    m_verifiedAt = m_sentAt;
     m_failures = 0;
-    m_need = LedgerCallKind::Append;
-    moveTo(stored.number + 1);
+    m_nextCall = LedgerCallKind::Append;
+    advanceTo(stored.number + 1);
     dropRecordedEnds(stored.segment);
-    settle();
+    answerQueued();
 }
 
 void LedgerWriter::dropRecordedEnds(const LedgerSegment &segment)
@@ -421,16 +420,16 @@
     });
 }
 
-void LedgerWriter::moveTo(SegmentNumber next)
+void LedgerWriter::advanceTo(SegmentNumber next)
 {
     m_next = next;
     m_conflicted = false;
-    if (m_next > m_doubtNumber) {
-        m_doubtful.clear();
+    if (m_next > m_uncertainNumber) {
+        m_uncertain.clear();
     }
 }
 
-bool LedgerWriter::isWhole(const std::vector<StoredSegment> &segments) const
+bool LedgerWriter::isComplete(const std::vector<StoredSegment> &segments) const
 {
     if (segments.empty()) {
         return m_next == firstSegment;
@@ -456,31 +455,31 @@
 void LedgerWriter::foldList(const std::vector<StoredSegment> &segments, TimePoint now)
 {
     m_lastFoldedAt = now;
-    m_kept.clear();
+    m_retained.clear();
     if (segments.empty()) {
         return;
     }
     const SegmentNumber base = segments.back().segment.base;
-    const bool afresh = !m_listed || base > m_next;
-    if (afresh) {
+    const bool rebuild = !m_listed || base > m_next;
+    if (rebuild) {
         m_table = ClaimTable();
     }
-    const SegmentNumber from = afresh ? base : m_next;
+    const SegmentNumber from = rebuild ? base : m_next;
     for (const StoredSegment &stored : segments) {
-        m_kept.push_back({stored.number, stored.version});
+        m_retained.push_back({stored.number, stored.version});
         if (stored.number >= from) {
             m_table.fold(stored.number, stored.segment);
         }
     }
     m_lastClock = segments.back().segment.clock;
-    moveTo(segments.back().number + 1);
+    advanceTo(segments.back().number + 1);
 }
 
-void LedgerWriter::settle()
+void LedgerWriter::answerQueued()
 {
     returnBatch();
     std::erase_if(m_ends, [this](const QueuedEnd &queued) {
-        forgetQueued(queued.end.token);
+        removeQueuedClaim(queued.end.token);
         const bool settled = isEndSettled(queued.end);
         if (settled) {
             acknowledge(queued.from, queued.end);
@@ -493,7 +492,7 @@
     std::erase_if(m_claims, [this](const QueuedClaim &claim) {
         const ClaimHolder *holder = m_table.find(claim.request.key);
         if (holder != nullptr) {
-            m_known.erase(claim.request.token);
+            m_queuedTokens.erase(claim.request.token);
             answerFromTable(claim.request, *holder);
         }
         return holder != nullptr;
@@ -506,10 +505,10 @@
     if (holder != nullptr && holder->token == end.token && holder->state != ClaimState::InProgress) {
         return true;
     }
-    // Failure: this writer's table is behind and lacks the claim. Symptom: a finish confirmed without a record is forgotten by its
-    // desk, which then withdraws a claim that ran. So a finish is confirmed by a record alone; a withdrawal need not be, since its
-    // desk withdraws again whenever it hears of the grant.
-    const bool mayBecomeDurable = m_doubtful.contains(end.token) || m_known.contains(end.token);
+    // This writer's table may be behind and lack the claim. If a finish were confirmed without a record, its client would remove the token and, on a
+    // later grant, withdraw a claim that ran. So a finish is confirmed only by a record. A withdrawal needs none, since the client withdraws
+    // again whenever it receives the grant.
+    const bool mayBecomeDurable = m_uncertain.contains(end.token) || m_queuedTokens.contains(end.token);
     return end.kind == RecordKind::Withdraw && !mayBecomeDurable && !m_table.isInProgress(end.key, end.token);
 }
 
@@ -523,8 +522,8 @@
     if (state == ClaimState::InProgress && !m_live.contains(holder.host)) {
         state = ClaimState::Unknown;
     } else if (state == ClaimState::InProgress) {
-        // Failure: the holder's host gave up before it heard of the grant, and its withdrawal was lost. Symptom: the key stays
-        // "in progress" though nothing runs. Told of the grant again, the holder's desk withdraws or finishes it.
+        // The holder's host may have given up before it received the grant, and its withdrawal may have been lost. The key would stay "in progress"
+        // though nothing runs. On receiving the grant again, the holder's client withdraws or finishes the claim.
         m_answers.push_back({holder.host, {LedgerAnswerKind::Granted, request.key, holder.token, {}, {}, {}}});
     }
     m_answers.push_back({request.host, {LedgerAnswerKind::Repeated, request.key, request.token, holder.request, holder.host, state}});
@@ -535,14 +534,14 @@
     m_answers.push_back({to, {LedgerAnswerKind::Ended, end.key, end.token, {}, {}, {}}});
 }
 
-void LedgerWriter::forgetQueued(const ClaimToken &token)
+void LedgerWriter::removeQueuedClaim(const ClaimToken &token)
 {
-    if (!m_known.contains(token)) {
+    if (!m_queuedTokens.contains(token)) {
         return;
     }
     const std::size_t removed = std::erase_if(m_claims, [&token](const QueuedClaim &claim) { return claim.request.token == token; });
     if (removed > 0) {
-        m_known.erase(token);
+        m_queuedTokens.erase(token);
     }
 }
 
--- a/src/ledger/segment.cpp
+++ b/src/ledger/segment.cpp
@@ -1,5 +1,4 @@
-// Segments as Boost.JSON text. Readers refuse what they do not fully understand: a claim that is skipped
-// would be granted twice.
+// Segments as JSON text, by Boost.JSON. Parsing rejects whatever it does not fully understand: a claim that is skipped would be granted a second time.
 
 #include "ledger/segment.h"
 
