--- a/src/ledger/ledger_test.cpp
+++ b/src/ledger/ledger_test.cpp
@@ -415,7 +415,7 @@
     fleet.run(100ms);
     REQUIRE(resultOf(first) == ClaimResult::Granted);
     fleet.network.cut.insert(fleet.names[0]);
-    SECTION("removed")
+    SECTION("gone")
     {
         const std::vector<HostId> rest(fleet.names.begin() + 1, fleet.names.end());
         fleet.hosts[1]->setHosts(rest);
