--- a/src/wire/peerconnection.cpp
+++ b/src/wire/peerconnection.cpp
@@ -1,6 +1,6 @@
-// Writes are gathered: whatever was queued while one write was pending goes out in the next, so that many
-// small frames cost one system call. Both sides send heartbeats by their own timers rather than echo the
-// other's, so a large frame on its way in one direction does not hold up the proof of life in the other.
+// Writes are gathered: all frames queued while one write is pending are sent by the next, up to framesPerWrite, so that many small frames cost one
+// system call. Each side sends heartbeats on its own timer instead of echoing the other's, so a large frame in one direction does not delay the
+// heartbeats of the other direction.
 
 #include "wire/peerconnection.h"
 
@@ -16,9 +16,9 @@
 namespace
 {
 
-// A stranger may send no more than the two handshake messages before it is proved.
+// A peer may send no more than the two handshake messages before it is authenticated.
 constexpr std::size_t maxHandshakePayload = 1024;
-// Bounds the buffer list of one gathered write; Linux takes at most 1,024 pieces a call.
+// Bounds the buffer list of one gathered write; Linux accepts at most 1,024 buffers a call.
 constexpr std::size_t framesPerWrite = 64;
 
 } // namespace
@@ -54,7 +54,7 @@
     if (m_closed) {
         return;
     }
-    boost::system::error_code ignored; // A link without this option is slower, not wrong.
+    boost::system::error_code ignored; // Without this option a link is slower, but still correct.
     m_socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
     m_connected = true;
     for (HandshakeFrame &frame : m_handshake.begin()) {
@@ -189,14 +189,14 @@
 void PeerConnection<ClockType>::tick(TimePoint now)
 {
     if (!ready()) {
-        // A stranger that sends a byte now and then must not hold a connection for ever.
+        // An unauthenticated peer that sends a byte now and then must not hold a connection forever.
         if (now - m_started >= m_options.silenceLimit) {
             close(CloseReason::HandshakeTimeout);
         }
         return;
     }
-    // Something between the hosts may lose track of the connection: nothing arrives, nothing fails, and TCP
-    // believes in it for many minutes. The heartbeat makes silence itself the proof that the link is gone.
+    // A device between the hosts may drop its state of the connection: nothing arrives, nothing fails, and TCP considers the connection open for many
+    // minutes. Since peers send heartbeats, silence shows that the link has failed.
     if (now - m_lastReceived >= m_options.silenceLimit) {
         close(CloseReason::Silent);
         return;
@@ -219,7 +219,7 @@
         return;
     }
     m_closed = true;
-    boost::system::error_code ignored; // The socket is given up; there is nothing left to do on failure.
+    boost::system::error_code ignored; // The socket is no longer used; a failure needs no handling.
     m_socket.close(ignored);
     const std::function<void(CloseReason)> onClosed = std::move(m_events.onClosed);
     onClosed(reason);
--- a/src/wire/peerhandshake.cpp
+++ b/src/wire/peerhandshake.cpp
@@ -1,6 +1,6 @@
-// Challenge and response as in ISO/IEC 9798-4 mutual authentication: both challenges and both names go under
-// each digest. Preferred to TLS because hosts share one secret already, need no certificates to be handed out
-// and renewed, and the payload carries nothing that is not also sent to endpoints in the clear.
+// Challenge and response as in the mutual authentication of ISO/IEC 9798-4: each digest covers both challenges and both host names. Used instead
+// of TLS because the hosts already share one secret, no certificates have to be distributed and renewed, and the payload carries nothing
+// that is not also sent to endpoints unencrypted.
 
 #include "wire/peerhandshake.h"
 
@@ -47,7 +47,7 @@
 
 void appendText(std::vector<std::byte> &message, std::string_view text)
 {
-    message.push_back(std::byte(text.size())); // maxHelloText fits a byte, and the length keeps fields apart
+    message.push_back(std::byte(text.size())); // maxHelloText fits into a byte; the length separates the fields
     const std::span<const std::byte> bytes = std::as_bytes(std::span(text));
     message.insert(message.end(), bytes.begin(), bytes.end());
 }
--- a/src/wire/peernetwork.cpp
+++ b/src/wire/peernetwork.cpp
@@ -1,5 +1,5 @@
-// One sweep timer drives the heartbeats and limits of all links; at 370 hosts a timer a link would cost the
-// event loop more than the heartbeats do. Each outgoing link has a state machine of its own (PeerLink).
+// One sweep timer drives the heartbeats and limits of all links: at 370 hosts one timer a link would cost the event loop more than the heartbeats
+// do. Each outgoing link has its own state machine (PeerLink).
 
 #include "wire/peernetwork.h"
 
@@ -27,11 +27,11 @@
 
 const Log wireLog{LogPart::Wire};
 
-constexpr Duration firstRedial = 100ms;
-constexpr Duration mostRedial = 2s;
-// Well above the design's 370 hosts, each with one incoming link; strangers can hold no more than this.
+constexpr Duration initialRedialWait = 100ms;
+constexpr Duration maxRedialWait = 2s;
+// Well above the design's 370 hosts, each with one incoming link. Unauthenticated peers can hold no more connections than this.
 constexpr std::size_t maxIncoming = 2048;
-// After a failed accept (out of descriptors), so that the loop does not spin.
+// Wait after a failed accept (out of descriptors), so that the loop does not spin.
 constexpr Duration acceptPause = 100ms;
 
 std::optional<tcp::endpoint> endpointOf(const PeerAddress &address)
@@ -77,18 +77,18 @@
 
 } // namespace
 
-/** The link that this host dials. Idle: neither connection nor redial; waiting: redial; otherwise connection. */
+/** A link that this host dials. Either idle (no connection, not waiting), waiting for a redial, or with a connection. */
 template <Clock ClockType>
 struct PeerLink
 {
     explicit PeerLink(boost::asio::io_context &context)
         : redial(context)
-        , backoff(firstRedial, mostRedial)
+        , backoff(initialRedialWait, maxRedialWait)
     {
     }
 
     PeerAddress address;
-    bool addressLearned = false; ///< from the peer's Hello rather than from setAddress()
+    bool addressLearned = false; ///< the address comes from the peer's Hello, not from setAddress()
     std::shared_ptr<PeerConnection<ClockType>> connection;
     SessionTimer<ClockType> redial;
     bool waiting = false;
@@ -175,8 +175,8 @@
     SessionTimer<ClockType> m_acceptTimer;
     Random m_random;
     std::map<HostId, LinkPtr> m_links;
-    std::set<ConnectionPtr> m_incoming; ///< proved or not
-    std::map<HostId, ConnectionPtr> m_incomingByHost; ///< proved
+    std::set<ConnectionPtr> m_incoming; ///< authenticated or not
+    std::map<HostId, ConnectionPtr> m_incomingByHost; ///< authenticated
     std::map<MessageKind, std::shared_ptr<const FrameHandler>> m_frameHandlers;
     std::vector<std::shared_ptr<const LinkHandler>> m_linkHandlers;
     PeerCounters m_counters;
@@ -205,7 +205,7 @@
         m_acceptor.listen(tcp::acceptor::max_listen_connections, error);
     }
     if (error) {
-        boost::system::error_code ignored; // Already failed.
+        boost::system::error_code ignored; // start() has already failed.
         m_acceptor.close(ignored);
         return StartError::ListenFailed;
     }
@@ -224,7 +224,7 @@
         return;
     }
     m_stopped = true;
-    boost::system::error_code ignored; // Nothing left to do on failure.
+    boost::system::error_code ignored; // A failure needs no handling.
     m_acceptor.close(ignored);
     m_sweepTimer.cancel();
     m_acceptTimer.cancel();
@@ -307,7 +307,7 @@
     ConnectionPtr &current = m_incomingByHost[host];
     const ConnectionPtr former = std::exchange(current, connection);
     if (former) {
-        // The peer gave its former link up, perhaps without our seeing it; frames of two links must not mix.
+        // The peer has abandoned its former link, possibly unnoticed here. Frames of the two links must not be interleaved.
         former->close(CloseReason::Replaced);
     }
 }
@@ -318,7 +318,7 @@
     m_incoming.erase(connection);
     if (reason == CloseReason::HandshakeFailed || reason == CloseReason::HandshakeTimeout) {
         ++m_counters.handshakesRefused;
-        wireLog.warn("an incoming link was refused");
+        wireLog.warn("rejected an incoming link: the handshake failed or took too long");
     }
     if (reason == CloseReason::Silent) {
         ++m_counters.silentLinks;
@@ -454,7 +454,7 @@
     PeerConnectionEvents events;
     events.onReady = [self, host, link] { self->linkReady(host, link); };
     events.onFrame = [self, host, link](const Frame &frame) {
-        link->backoff.reset(); // A heartbeat of the proved peer: the link works, not only its handshake.
+        link->backoff.reset(); // A heartbeat of the authenticated peer: the link works, not only its handshake.
         self->received(host, frame);
     };
     events.onSent = [self, host](MessageKind kind, std::size_t bytes) { self->countSent(host, kind, bytes); };
@@ -515,7 +515,7 @@
         if (error || self->m_stopped) {
             return;
         }
-        // Redialled without new frames too, so that its users hear when the peer is back, but not for ever.
+        // Redials even without new frames, so that link handlers learn when the peer is reachable again, but not forever.
         const bool inUse = !link->pending.empty() || ClockType::now() - link->lastUse < self->m_options.idleLimit;
         if (inUse && !link->connection) {
             self->dial(host, link);
@@ -554,8 +554,8 @@
 void PeerNetwork<ClockType>::Core::sweep()
 {
     const TimePoint now = ClockType::now();
-    // A host that was frozen or starved has not read what its peers sent meanwhile. Judging them by it would
-    // drop every link at once and lose all their queued frames.
+    // A host that was paused or starved has not read what its peers sent in the meantime. Measuring their silence over that time would drop all links
+    // at once and lose all queued frames.
     const bool wasStalled = now - m_lastSweep > 2 * m_options.heartbeatInterval;
     m_lastSweep = now;
     closeIdleLinks(now);
@@ -614,7 +614,7 @@
 {
     const auto found = m_frameHandlers.find(kind);
     if (found == m_frameHandlers.end()) {
-        ++m_counters.unhandledFrames; // A newer host may know kinds that this one does not.
+        ++m_counters.unhandledFrames; // A newer host may send kinds that this one does not know.
         return;
     }
     PeerTraffic &traffic = m_counters.kinds[kind];
@@ -624,7 +624,7 @@
     (*handler)(from, payload);
 }
 
-// The public face.
+// The public interface.
 
 template <Clock ClockType>
 PeerNetwork<ClockType>::PeerNetwork(boost::asio::io_context &context, PeerNetworkOptions options)
--- a/src/wire/peernetwork.h
+++ b/src/wire/peernetwork.h
@@ -1,29 +1,28 @@
 #pragma once
 
-// Links between hosts: authenticated, framed, heartbeat-checked TCP.
+// PeerNetwork provides links between hosts: authenticated, framed TCP with heartbeats.
 //
-// PeerNetwork sends a slice's bytes to a host and hands received bytes to the slice that registered for their
-// kind. It keeps at most one outgoing link a host, opened on first use, closed when idle. A frame is
+// It sends bytes to a host and passes received bytes to the handler registered for their kind. It keeps at most one outgoing link a host, opened
+// on first use and closed when idle. A frame is
 //
 //     uint32 payload length | uint16 kind | payload        (little endian; length excludes the 6-byte header)
 //
-// What it promises: frames on one link arrive whole and in order or the link is dropped; a link that is
-// silent for `silenceLimit` is dropped and reopened, however healthy TCP believes it to be; the peer proved
-// the shared secret before any frame is handed on. What it does not promise: delivery. A frame queued on a
-// link that drops is lost, so every message of every slice is idempotent and sent again by its owner.
+// Guarantees: frames on one link arrive complete and in order, or the link is dropped. A link that is silent for `silenceLimit` is dropped and
+// reopened, whatever the state of the TCP connection. The peer has proved the shared secret before any frame is passed on.
+// Delivery is not guaranteed: a frame queued on a link that drops is lost, so every message is idempotent and its sender sends it again.
 //
-// A link carries frames one way, from the host that dialled; an answer travels on the link of the host that
-// answers. So two hosts that dial each other at once simply hold one link each way, and nothing has to
-// decide which of two connections survives. Heartbeats go both ways on each link.
+// A link carries frames one way, from the host that dialled; an answer uses the link of the answering host. Two hosts that dial each other at
+// the same time therefore have one link each way, and no rule is needed to choose between two connections. Heartbeats go both ways on
+// each link.
 //
-// How to use it: make one, register handlers, start(), tell it addresses as membership learns them, send().
-// A host that dials tells where it listens, so that it can be answered before membership knows it; an
-// address from setAddress() overrides that. Frames to the host itself are handed on through the event loop.
+// Use: create one, register handlers, start(), call setAddress() as membership learns addresses, send(). A host that dials also reports where it
+// listens, so that it can be answered before membership knows it; an address from setAddress() overrides that. Frames to the host itself
+// are passed on through the event loop.
 //
-// Bounds: payloads up to maxPayloadBytes; at most `queueBytes` queued a link, beyond which send() refuses;
-// frames queued for a host that can't be reached are dropped when the attempt fails, within silenceLimit plus
-// the back-off (2 s at most). Silence is noticed within silenceLimit and one heartbeat interval. Cost of an
-// idle link: one 6-byte frame each way a heartbeat interval; none where other frames flow.
+// Limits: payloads of up to maxPayloadBytes; at most `queueBytes` queued a link, beyond which send() fails. Frames queued for an unreachable
+// host are dropped when the attempt fails, within silenceLimit plus the backoff (2 s at most). Silence is detected within silenceLimit
+// and one heartbeat interval.
+// Cost of an idle link: one 6-byte frame each way per heartbeat interval; none while other frames are sent.
 
 #include "base/clock.h"
 #include "base/ids.h"
@@ -46,7 +45,7 @@
 namespace Rhubarbwind
 {
 
-/** Largest payload of one frame: the platform's 1 MB a value and some room for framing. */
+/** Maximum payload of one frame: the platform's limit of 1 MB a value, with a margin for encoding. */
 inline constexpr std::size_t maxPayloadBytes = std::size_t(2) * 1024 * 1024;
 
 struct PeerAddress
@@ -63,13 +62,13 @@
 };
 
 enum class StartError : std::uint8_t {
-    BadAddress, ///< not an IP number
-    ListenFailed, ///< the address is in use or not of this machine
+    BadAddress, ///< not an IP address
+    ListenFailed, ///< the address is in use or does not belong to this machine
 };
 
-/** Of the link that this host dialled. Closing an idle link is not reported; the next send() reopens it. */
+/** State of a link that this host dialled. Closing an idle link is not reported; the next send() reopens it. */
 enum class LinkState : std::uint8_t {
-    Up, ///< the peer is proved; frames lost before may be sent again
+    Up, ///< the peer is authenticated; frames lost before may be sent again
     Down, ///< dropped, or an attempt failed; queued frames were lost
 };
 
@@ -87,7 +86,7 @@
     std::size_t queueBytes = std::size_t(4) * 1024 * 1024;
 };
 
-/** What slices need of the peer network; a test's fake meets it with a few lines. */
+/** The part of the peer network that other folders use; simple to fake in a test. */
 template <class T>
 concept PeerTransport = requires(T transport, const HostId &host, MessageKind kind, std::vector<std::byte> payload, FrameHandler handler)
 {
@@ -103,18 +102,18 @@
     std::uint64_t framesOut = 0;
     std::uint64_t bytesIn = 0; ///< headers included
     std::uint64_t bytesOut = 0;
-    std::uint64_t framesDropped = 0; ///< queued and lost with their link
-    std::uint64_t linkDrops = 0; ///< links lost and attempts failed
+    std::uint64_t framesDropped = 0; ///< queued on a link that dropped
+    std::uint64_t linkDrops = 0; ///< dropped links and failed attempts
 };
 
 struct PeerCounters
 {
-    std::map<HostId, PeerTraffic> peers; ///< heartbeats included, handshakes not
+    std::map<HostId, PeerTraffic> peers; ///< includes heartbeats, but not handshakes
     std::map<MessageKind, PeerTraffic> kinds; ///< frames and bytes only
     std::uint64_t handshakesRefused = 0;
     std::uint64_t silentLinks = 0;
-    std::uint64_t unhandledFrames = 0; ///< of a kind without a handler
-    std::uint64_t connectionsRefused = 0; ///< over the bound on incoming connections
+    std::uint64_t unhandledFrames = 0; ///< frames of a kind without a handler
+    std::uint64_t connectionsRefused = 0; ///< refused above the limit on incoming connections
 };
 
 template <Clock ClockType>
@@ -122,27 +121,27 @@
 {
 public:
     PeerNetwork(boost::asio::io_context &context, PeerNetworkOptions options);
-    /** Stops. */
+    /** Calls stop(). */
     ~PeerNetwork();
     PeerNetwork(const PeerNetwork &) = delete;
     PeerNetwork &operator=(const PeerNetwork &) = delete;
 
     Result<void, StartError> start();
-    /** Closes everything at once; queued frames are lost and no handler is called any more. */
+    /** Closes all links at once. Queued frames are lost and no handler is called afterwards. */
     void stop();
 
     void setAddress(const HostId &host, const PeerAddress &address);
-    /** Closes the links with a host that is gone and forgets its address and counters. */
+    /** Closes the links with a host that left the fleet and removes its address and counters. */
     void forget(const HostId &host);
     Result<void, SendError> send(const HostId &host, MessageKind kind, std::vector<std::byte> payload);
 
-    /** One handler a kind; a later one takes its place. The payload is unverified, aligned to 8 bytes, and valid during the call only. */
+    /** Sets the handler of a kind, replacing the former one. The payload is unverified, aligned to 8 bytes, and valid only during the call. */
     void onFrame(MessageKind kind, FrameHandler handler);
-    /** Adds a handler. */
+    /** Adds a handler for state changes of links. */
     void onLink(LinkHandler handler);
 
     const PeerCounters &counters() const;
-    /** The port in use; the system's choice when the options gave port 0. Zero before start(). */
+    /** Returns the port in use, chosen by the system when the options specify port 0. Zero before start(). */
     std::uint16_t listenPort() const;
 
 private:
--- a/src/wire/peernetwork_test.cpp
+++ b/src/wire/peernetwork_test.cpp
@@ -1,4 +1,4 @@
-// Contract tests over real sockets on 127.0.0.1, on virtual time: limits pass only when a test advances them.
+// Contract tests over real sockets on 127.0.0.1 with virtual time: time limits expire only when a test advances the clock.
 
 #include "wire/peerconnection.h"
 #include "wire/peernetwork.h"
@@ -34,7 +34,7 @@
     return {view.begin(), view.end()};
 }
 
-/** Only a hang reaches the bound. */
+/** Runs the loop until the condition holds. The time limit is reached only if the test hangs. */
 template <class Condition>
 bool runUntil(boost::asio::io_context &context, Condition condition)
 {
@@ -47,7 +47,7 @@
     return condition();
 }
 
-/** Lets virtual time pass beat by beat until the condition holds. */
+/** Advances virtual time in small steps until the condition holds. */
 template <class Condition>
 bool advanceUntil(boost::asio::io_context &context, Condition condition)
 {
@@ -83,7 +83,7 @@
     std::vector<LinkState> states;
 };
 
-/** A listener that proves itself and then sends nothing any more, while TCP stays healthy. */
+/** A listener that completes the handshake and then sends nothing, while its TCP connection stays open. */
 struct SilentPeer
 {
     explicit SilentPeer(boost::asio::io_context &context)
@@ -127,7 +127,7 @@
     CHECK(b.network.counters().peers.at(left).bytesIn == a.network.counters().peers.at(right).bytesOut);
 }
 
-TEST_CASE("a host answers a stranger to its membership and itself")
+TEST_CASE("a host can answer a host that membership does not know, and send to itself")
 {
     boost::asio::io_context context;
     Node a(context, left);
@@ -143,7 +143,7 @@
     CHECK(a.received.back() == "right:answer");
 }
 
-TEST_CASE("send refuses what it cannot hold")
+TEST_CASE("send fails for unknown hosts, large payloads and a full queue")
 {
     boost::asio::io_context context;
     Node a(context, left);
@@ -174,9 +174,8 @@
     CHECK(stranger.received.empty());
 }
 
-// The caller's requests would wait for ever: something between two hosts has lost track of their connection,
-// so nothing arrives and nothing fails, while new connections work. The heartbeat's absence is the only sign;
-// the link has to be dropped on it and a new one dialled.
+// Guards against callers' requests that wait forever: a device between two hosts has dropped its state of their connection, so nothing arrives and
+// nothing fails, while new connections work. Only the missing heartbeat shows it; the link must be dropped and a new one dialled.
 TEST_CASE("a link that went silent is dropped and a new one works")
 {
     boost::asio::io_context context;
@@ -199,9 +198,8 @@
     CHECK(b.received == std::vector<std::string>{"left:again"});
 }
 
-// The caller sees nothing, which is the point: a host that was frozen for longer than the silence limit finds
-// old readings on every link when it wakes, before it has read what its peers sent meanwhile. Judged at once,
-// all its links would drop together with what they had queued.
+// A host that was paused for longer than the silence limit finds that every link was last read long ago, before it has read what its peers sent in
+// the meantime. If it checked for silence at once, all its links would drop with their queued frames. Callers must not notice the pause.
 TEST_CASE("a host that was itself stalled does not drop its links for it")
 {
     boost::asio::io_context context;
@@ -238,8 +236,8 @@
     CHECK(a.states == std::vector<LinkState>{LinkState::Up});
 }
 
-// The caller's frames would reach a host that never was meant: a host is replaced at its address while its
-// former links still redial. The name in the handshake tells the two apart.
+// Guards against frames that reach the wrong host: a host is replaced at its address while links to the former host still redial. The host name in
+// the handshake distinguishes the two.
 TEST_CASE("a replacement at the same address gets no frames meant for the former host")
 {
     boost::asio::io_context context;
