--- a/src/ledger/ledgerhost.h
+++ b/src/ledger/ledgerhost.h
@@ -41,7 +41,7 @@
 
 struct LedgerHostStatus
 {
-    LedgerClientStatus client;
+    LedgerClientStatus desk;
     std::map<std::uint32_t, LedgerWriterStatus> writers; ///< by shard, for the shards that this host serves
 };
 
