--- a/src/wire/peerhandshake.cpp
+++ b/src/wire/peerhandshake.cpp
@@ -17,7 +17,7 @@
 {
 
 constexpr std::uint16_t peerProtocol = 1;
-// Host names are short; the bound keeps a stranger's Hello from costing memory.
+// Host names are short; the limit keeps the Hello of an unauthenticated peer from using memory.
 constexpr std::size_t maxHelloText = 128;
 
 std::vector<std::byte> finishedBytes(const flatbuffers::FlatBufferBuilder &builder)
--- a/src/wire/peernetwork_test.cpp
+++ b/src/wire/peernetwork_test.cpp
@@ -163,15 +163,15 @@
 {
     boost::asio::io_context context;
     Node a(context, left);
-    Node stranger(context, right, "guess");
-    a.network.setAddress(right, stranger.address());
-    stranger.network.setAddress(left, a.address());
+    Node unauthenticated(context, right, "guess");
+    a.network.setAddress(right, unauthenticated.address());
+    unauthenticated.network.setAddress(left, a.address());
     REQUIRE(a.network.send(right, MessageKind::StatusQuery, bytesOf("private")));
-    REQUIRE(stranger.network.send(left, MessageKind::StatusQuery, bytesOf("forged")));
+    REQUIRE(unauthenticated.network.send(left, MessageKind::StatusQuery, bytesOf("forged")));
     REQUIRE(runUntil(context, [&] { return !a.states.empty() && a.network.counters().handshakesRefused > 0; }));
     CHECK(a.states == std::vector<LinkState>{LinkState::Down});
     CHECK(a.received.empty());
-    CHECK(stranger.received.empty());
+    CHECK(unauthenticated.received.empty());
 }
 
 // Guards against callers' requests that wait forever: a device between two hosts has dropped its state of their connection, so nothing arrives and
