--- a/src/relay/requeststatemachine.cpp
+++ b/src/relay/requeststatemachine.cpp
@@ -143,13 +143,13 @@
 {
     RequestActions actions;
     if (m_state != RequestState::AwaitClaim) {
-        if (ended() && m_rules.claimed && !m_claimGranted && answer.verdict == ClaimVerdict::Granted) {
+        if (ended() && m_rules.claimed && !m_claimGranted && answer.result == ClaimResult::Granted) {
             m_claimGranted = true;
             actions.push_back(FinishClaim{ClaimState::Unknown, true});
         }
         return actions;
     }
-    if (answer.verdict == ClaimVerdict::Granted) {
+    if (answer.result == ClaimResult::Granted) {
         m_claimGranted = true;
         if (m_permitHeld) {
             dispatch(actions);
@@ -158,7 +158,7 @@
         }
         return actions;
     }
-    if (answer.verdict == ClaimVerdict::Repeated) {
+    if (answer.result == ClaimResult::Repeated) {
         release(ReleaseKind::Unused, actions);
         m_state = RequestState::Ended;
         actions.push_back(Answer{outcomeOf(answer.state), RelayError::ClaimRepeated, {}, answer});
--- a/src/relay/requeststatemachine_test.cpp
+++ b/src/relay/requeststatemachine_test.cpp
@@ -99,13 +99,13 @@
             break;
         case 2:
             m_oracle.claimGranted = m_oracle.claimGranted || m_oracle.claims > 0;
-            take(m_stateMachine.claimAnswered({ClaimVerdict::Granted, {}, {}, {}}, m_now));
+            take(m_stateMachine.claimAnswered({ClaimResult::Granted, {}, {}, {}}, m_now));
             break;
         case 3:
-            take(m_stateMachine.claimAnswered({ClaimVerdict::Repeated, RequestId("q"), HostId("h"), ClaimState::InProgress}, m_now));
+            take(m_stateMachine.claimAnswered({ClaimResult::Repeated, RequestId("q"), HostId("h"), ClaimState::InProgress}, m_now));
             break;
         case 4:
-            take(m_stateMachine.claimAnswered({ClaimVerdict::Unavailable, {}, {}, {}}, m_now));
+            take(m_stateMachine.claimAnswered({ClaimResult::Unavailable, {}, {}, {}}, m_now));
             break;
         case 5:
             take(m_stateMachine.connectFailed(connection));
